--- a/internal/admin/quarantine.go
+++ b/internal/admin/quarantine.go
@@ -29,15 +29,15 @@
 }
 
 // Quarantined returns what operators see of held requests.
-func Quarantined(all []quarantine.HeldRequest) []HeldRequest {
+func Quarantined(all []quarantine.QuarantinedRequest) []HeldRequest {
 	out := make([]HeldRequest, len(all))
 	for i, h := range all {
 		out[i] = HeldRequest{
 			Fingerprint: h.Request.String(),
 			Service:     h.Service,
-			Falls:       h.Falls,
-			SinceMs:     h.Since.Milliseconds(),
-			TriedMs:     h.After.Milliseconds(),
+			Falls:       h.Crashes,
+			SinceMs:     h.HeldFor.Milliseconds(),
+			TriedMs:     h.RetryAfter.Milliseconds(),
 			Refused:     h.Refused,
 			Method:      h.About.Method,
 			Host:        h.About.Host,
--- a/internal/admission/gate.go
+++ b/internal/admission/gate.go
@@ -23,10 +23,10 @@
 	return &Gate{queue: NewQueue(cfg), waiters: make(map[*Ticket]chan Verdict)}
 }
 
-// Enter waits for a slot. If the verdict is Started, the caller must call
+// Acquire waits for a slot. If the verdict is Started, the caller must call
 // Leave once. It returns at once when the request is refused, displaced, can
 // no longer finish in time, or ctx ends.
-func (g *Gate) Enter(ctx context.Context, t *Ticket) Verdict {
+func (g *Gate) Acquire(ctx context.Context, t *Ticket) Verdict {
 	g.mu.Lock()
 	if g.closed != ReasonNone {
 		defer g.mu.Unlock()
@@ -86,8 +86,8 @@
 	ch <- v
 }
 
-// Leave frees the slot of a started request that held it for the given time.
-func (g *Gate) Leave(held time.Duration) {
+// Release frees the slot of a started request that held it for the given time.
+func (g *Gate) Release(held time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.settleAll(g.queue.Release(clock.Now(), held))
@@ -147,9 +147,9 @@
 	}
 }
 
-// Dismiss refuses further requests and those that wait, for a reason; those that run
+// RefuseAll refuses further requests and those that wait, for a reason; those that run
 // go on. SetDraining takes requests again.
-func (g *Gate) Dismiss(why Reason) {
+func (g *Gate) RefuseAll(why Reason) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.closed = why
@@ -187,9 +187,9 @@
 	}
 }
 
-// SlotEvery is the time between two slots that come free while all are in use;
+// SlotInterval is the time between two slots that come free while all are in use;
 // 0 if that is not known.
-func (g *Gate) SlotEvery() time.Duration {
+func (g *Gate) SlotInterval() time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.queue.waitBehind(clock.Now(), 1)
--- a/internal/admission/limits.go
+++ b/internal/admission/limits.go
@@ -25,8 +25,8 @@
 // NewLimits returns limits that let every call start.
 func NewLimits() *Limits { return &Limits{max: -1} }
 
-// Row is what the table says about one upstream and its service.
-type Row struct {
+// RowLimits is what the table says about one upstream and its service.
+type RowLimits struct {
 	ServiceRate        float64 // calls a second over the fleet; 0 means no limit
 	UpstreamRate       float64
 	ServiceConcurrency int // calls in progress over the fleet; 0 means no limit
@@ -37,7 +37,7 @@
 }
 
 // Set takes over a new version of the row. Calls in progress stay counted.
-func (l *Limits) Set(now time.Time, r Row) {
+func (l *Limits) Set(now time.Time, r RowLimits) {
 	l.service = adjust(l.service, now, r.ServiceRate*r.Shares[r.Self])
 	l.upstream = adjust(l.upstream, now, r.UpstreamRate)
 	l.max = -1
--- a/internal/admission/pace_test.go
+++ b/internal/admission/pace_test.go
@@ -95,7 +95,7 @@
 		starts := make(chan time.Duration, 40)
 		for range cap(starts) {
 			go func() {
-				if g.Enter(t.Context(), &Ticket{Kind: "k", Weight: 1}).Started {
+				if g.Acquire(t.Context(), &Ticket{Kind: "k", Weight: 1}).Started {
 					starts <- time.Since(began)
 				}
 			}()
--- a/internal/admission/queue_test.go
+++ b/internal/admission/queue_test.go
@@ -176,11 +176,11 @@
 func TestGateRefusesWaitingRequestBeforeItsDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewGate(Config{Slots: 1, QueueLimit: 5})
-		assert.Assert(t, g.Enter(t.Context(), &Ticket{Kind: "k"}).Started)
-		g.Leave(50 * time.Millisecond)
-		assert.Assert(t, g.Enter(t.Context(), &Ticket{Kind: "k"}).Started)
+		assert.Assert(t, g.Acquire(t.Context(), &Ticket{Kind: "k"}).Started)
+		g.Release(50 * time.Millisecond)
+		assert.Assert(t, g.Acquire(t.Context(), &Ticket{Kind: "k"}).Started)
 		begin := time.Now()
-		v := g.Enter(t.Context(), &Ticket{Kind: "k", Deadline: begin.Add(200 * time.Millisecond)})
+		v := g.Acquire(t.Context(), &Ticket{Kind: "k", Deadline: begin.Add(200 * time.Millisecond)})
 		assert.Equal(t, v.Reason, ReasonTooLate)
 		assert.Equal(t, time.Since(begin), 150*time.Millisecond, "refused when it could no longer end in time")
 		assert.Equal(t, g.Load(), Load{InUse: 1, Slots: 1})
@@ -190,14 +190,14 @@
 func TestGateCancelDoesNotLeakSlots(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewGate(Config{Slots: 1, QueueLimit: 5})
-		assert.Assert(t, g.Enter(t.Context(), &Ticket{Kind: "k"}).Started)
+		assert.Assert(t, g.Acquire(t.Context(), &Ticket{Kind: "k"}).Started)
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan Verdict)
-		go func() { done <- g.Enter(ctx, &Ticket{Kind: "k"}) }()
+		go func() { done <- g.Acquire(ctx, &Ticket{Kind: "k"}) }()
 		synctest.Wait()
 		cancel()
 		assert.Equal(t, (<-done).Reason, ReasonCancelled)
-		g.Leave(time.Millisecond)
+		g.Release(time.Millisecond)
 		assert.Equal(t, g.Load().InUse, 0)
 	})
 }
@@ -234,7 +234,7 @@
 	var all []*Limits
 	for i := range shares {
 		l := NewLimits()
-		l.Set(now, Row{ServiceRate: 100, ServiceConcurrency: 7, Shares: shares, Self: i})
+		l.Set(now, RowLimits{ServiceRate: 100, ServiceConcurrency: 7, Shares: shares, Self: i})
 		all = append(all, l)
 	}
 	rate, concurrent := 0, 0
@@ -266,20 +266,20 @@
 func TestDismissedGate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewGate(Config{Slots: 1, QueueLimit: 10})
-		assert.Assert(t, g.Enter(t.Context(), &Ticket{Kind: "k"}).Started)
+		assert.Assert(t, g.Acquire(t.Context(), &Ticket{Kind: "k"}).Started)
 		waiting := make(chan Verdict, 3)
 		for range 3 {
-			go func() { waiting <- g.Enter(t.Context(), &Ticket{Kind: "k"}) }()
+			go func() { waiting <- g.Acquire(t.Context(), &Ticket{Kind: "k"}) }()
 		}
 		synctest.Wait()
-		g.Dismiss(ReasonDraining)
+		g.RefuseAll(ReasonDraining)
 		for range 3 {
 			assert.Equal(t, (<-waiting).Reason, ReasonDraining)
 		}
-		assert.Equal(t, g.Enter(t.Context(), &Ticket{Kind: "k"}).Reason, ReasonDraining)
+		assert.Equal(t, g.Acquire(t.Context(), &Ticket{Kind: "k"}).Reason, ReasonDraining)
 		assert.Equal(t, g.Load().InUse, 1)
-		g.Leave(time.Millisecond)
+		g.Release(time.Millisecond)
 		g.SetDraining(false)
-		assert.Assert(t, g.Enter(t.Context(), &Ticket{Kind: "k"}).Started)
+		assert.Assert(t, g.Acquire(t.Context(), &Ticket{Kind: "k"}).Started)
 	})
 }
--- a/internal/bench/goodput.go
+++ b/internal/bench/goodput.go
@@ -222,7 +222,7 @@
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
-		if err := g.fleet.RestartBackend(p.Name); err != nil {
+		if err := g.fleet.RestartNode(p.Name); err != nil {
 			return errors.Wrap(err, p.Name)
 		}
 	}
--- a/internal/cli/sidecar.go
+++ b/internal/cli/sidecar.go
@@ -42,7 +42,7 @@
 			load := func() (*settings.Sidecar, error) {
 				return settings.LoadSidecar(*file, settings.SidecarEnvironment(), overrides)
 			}
-			seen := sidecar.SeenNow(*file)
+			seen := sidecar.NewSettingsFile(*file)
 			cfg, err := load()
 			if err != nil {
 				return err
--- a/internal/discovery/arriving.go
+++ b/internal/discovery/arriving.go
@@ -10,16 +10,16 @@
 // arrivalKey marks the function of a context that is told of arrivals.
 type arrivalKey struct{}
 
-// WithArrivals returns a context for a call of a Source, with a function that is
+// WithProgress returns a context for a call of a Source, with a function that is
 // called with the length of each part of the answer that comes.
-func WithArrivals(ctx context.Context, arrived func(bytes int)) context.Context {
+func WithProgress(ctx context.Context, arrived func(bytes int)) context.Context {
 	return context.WithValue(ctx, arrivalKey{}, arrived)
 }
 
-// Arrived tells that so many bytes of the answer to the call of a Source with this
+// ReportProgress tells that so many bytes of the answer to the call of a Source with this
 // context have come. A Source calls it, so that an answer which takes long to come, as a
 // large table behind a full link does, is not taken for one that is lost.
-func Arrived(ctx context.Context, bytes int) {
+func ReportProgress(ctx context.Context, bytes int) {
 	if arrived, ok := ctx.Value(arrivalKey{}).(func(int)); ok {
 		arrived(bytes)
 	}
--- a/internal/discovery/arriving_test.go
+++ b/internal/discovery/arriving_test.go
@@ -43,7 +43,7 @@
 		if s.stalls {
 			next, bytes = time.Hour, leastPart
 		}
-		Arrived(ctx, bytes)
+		ReportProgress(ctx, bytes)
 		select {
 		case <-time.After(next):
 		case <-ctx.Done():
--- a/internal/discovery/bound_test.go
+++ b/internal/discovery/bound_test.go
@@ -105,7 +105,7 @@
 				time.Sleep(3 * time.Second) // it reads the store itself now
 				node.set(func(n *testNode) { n.unanswered = 2 })
 			},
-			within: DefaultConfig().WorstAge(2) + AnswerTime,
+			within: DefaultConfig().MaxStaleness(2) + ResponseAllowance,
 		},
 	} {
 		for phase := range 8 {
@@ -134,10 +134,10 @@
 		synctest.Test(t, func(t *testing.T) {
 			f, _ := follow(t, &fakeSource{fail: errors.New("down")})
 			time.Sleep(5 * time.Second)
-			assert.NilError(t, f.takeNews(t.Context(), time.Now(), "a", News{Outage: outage}))
+			assert.NilError(t, f.takeNews(t.Context(), time.Now(), "a", PeerUpdate{Outage: outage}))
 			f.mu.Lock()
 			defer f.mu.Unlock()
-			assert.Equal(t, f.registry.Outage(time.Now()), outage)
+			assert.Equal(t, f.registry.InOutage(time.Now()), outage)
 		})
 	}
 }
@@ -195,7 +195,7 @@
 		assert.Assert(t, !knows, "edition %d: %v believes in an upstream that has ended", edition, n.addr)
 		m, _ := n.follower.Member(id)
 		assert.Equal(t, n.holder.ID().Edition, edition, "table of %v", n.addr)
-		assert.Equal(t, m.Status, membership.Departing, "edition %d: leaving upstream at %v", edition, n.addr)
+		assert.Equal(t, m.Status, membership.Leaving, "edition %d: leaving upstream at %v", edition, n.addr)
 	}
 	entry.Leaving = false // as another process would be
 	f.store.put(entry)
@@ -238,7 +238,7 @@
 			for _, n := range f.sorted() {
 				if lacks := n.holder.ID().Edition + 1; lacks <= edition {
 					since := now.Sub(published[lacks])
-					assert.Assert(t, n.follower.Age(now) >= since, "%v lacks what was published %v ago, age %v", n.addr, since, n.follower.Age(now))
+					assert.Assert(t, n.follower.Staleness(now) >= since, "%v lacks what was published %v ago, age %v", n.addr, since, n.follower.Staleness(now))
 				}
 			}
 		}
--- a/internal/discovery/calls_test.go
+++ b/internal/discovery/calls_test.go
@@ -57,7 +57,7 @@
 		assert.Equal(t, holder.ID().Edition, uint64(1), "it can serve")
 		_, knows := follower.Member("gone")
 		assert.Assert(t, knows)
-		news, err := follower.NewsAfter(t.Context(), Ask{})
+		news, err := follower.PeerUpdateAfter(t.Context(), PeerRequest{})
 		assert.NilError(t, err)
 		assert.Equal(t, news.Age, unknownAge)
 		time.Sleep(firstNewsWait + 100*time.Millisecond)
@@ -100,14 +100,14 @@
 		f := startFollowers(t, 2, "a", "b", "c")
 		source := f.sorted()[0].follower
 		source.mu.Lock()
-		ask := Ask{After: Cursor{Epoch: source.epoch, Sequence: source.registry.Sequence()}, Table: source.holdsLocked(), Age: unknownAge}
+		ask := PeerRequest{After: Cursor{Epoch: source.epoch, Sequence: source.registry.Sequence()}, Table: source.holdsLocked(), Age: unknownAge}
 		source.mu.Unlock()
 		began := time.Now()
-		n, err := source.NewsAfter(t.Context(), ask)
+		n, err := source.PeerUpdateAfter(t.Context(), ask)
 		assert.NilError(t, err)
-		assert.Assert(t, time.Since(began) == 0 && n.Age < DefaultConfig().NewsMaxAge)
+		assert.Assert(t, time.Since(began) == 0 && n.Age < DefaultConfig().PeerMaxStaleness)
 		ask.Age = n.Age
-		_, err = source.NewsAfter(t.Context(), ask)
+		_, err = source.PeerUpdateAfter(t.Context(), ask)
 		assert.NilError(t, err)
 		assert.Assert(t, time.Since(began) > 0, "there is nothing to tell")
 	})
--- a/internal/discovery/changes_test.go
+++ b/internal/discovery/changes_test.go
@@ -20,7 +20,9 @@
 // silentPeers answers nothing; with it a follower chooses readers.
 type silentPeers struct{}
 
-func (silentPeers) Ask(context.Context, netip.AddrPort, Ask) (News, error) { return News{}, io.EOF }
+func (silentPeers) Ask(context.Context, netip.AddrPort, PeerRequest) (PeerUpdate, error) {
+	return PeerUpdate{}, io.EOF
+}
 
 func upstreamAt(i int, revision uint64) Upstream {
 	return Upstream{
@@ -110,7 +112,7 @@
 			for range 1 + rnd.IntN(3) {
 				i := rnd.IntN(60)
 				up := upstreamAt(i, revision)
-				up.Leaving, up.Born = rnd.IntN(4) == 0, uint64(rnd.IntN(3))
+				up.Leaving, up.StartedAtMs = rnd.IntN(4) == 0, uint64(rnd.IntN(3))
 				if rnd.IntN(6) == 0 { // at the address of another
 					up.Address = upstreamAt(rnd.IntN(60), 0).Address
 				}
@@ -124,7 +126,7 @@
 				u.Upstreams = append(u.Upstreams, up)
 			}
 			if rnd.IntN(20) == 0 {
-				u.Evacuations = []Evacuation{{DataCentre: fmt.Sprintf("dc-%d", rnd.IntN(5)), Revision: revision, Over: rnd.IntN(2) == 0}}
+				u.Evacuations = []Evacuation{{DataCentre: fmt.Sprintf("dc-%d", rnd.IntN(5)), Revision: revision, Ended: rnd.IntN(2) == 0}}
 			}
 			f.mu.Lock()
 			f.registry.Apply(now, u)
--- a/internal/discovery/cold.go
+++ b/internal/discovery/cold.go
@@ -5,12 +5,12 @@
 // mayBeCold takes an upstream of a data centre whose evacuation has ended for cold, as
 // long as it would be after a start: it may have started again or lost what it kept
 // meanwhile, and its entry tells late.
-func (f *Follower) mayBeCold(k Known) Known {
+func (f *Follower) mayBeCold(k KnownUpstream) KnownUpstream {
 	reopened := f.registry.reopened(k.DataCentre)
 	if reopened.IsZero() || f.document == nil {
 		return k
 	}
-	until := reopened.Add(f.document.Starts[k.Service].Cold)
+	until := reopened.Add(f.document.ColdStarts[k.Service].Duration)
 	if until.After(k.ColdUntil) {
 		k.ColdFrom, k.ColdUntil = reopened, until
 	}
@@ -27,13 +27,13 @@
 	if f.document == nil {
 		return 0
 	}
-	return callersShare * f.document.Starts[service].Rate / float64(max(nodes, 1))
+	return callersShare * f.document.ColdStarts[service].Rate / float64(max(nodes, 1))
 }
 
-// Starts tells how the upstreams of a service start; the zero value if nothing is known.
-func (f *Follower) Starts(service string) StartTerms {
+// ColdStart tells how the upstreams of a service start; the zero value if nothing is known.
+func (f *Follower) ColdStart(service string) ColdStart {
 	if t := f.starts.Load(); t != nil {
 		return (*t)[service]
 	}
-	return StartTerms{}
+	return ColdStart{}
 }
--- a/internal/discovery/config.go
+++ b/internal/discovery/config.go
@@ -16,14 +16,14 @@
 	// in series are fetched together: longer costs fewer calls, shorter has them
 	// in force sooner. Default 500 ms, or 25% of ChangeBound if that is less.
 	MinGap time.Duration
-	// CallOverdue is how long after its time the answer of a call is waited for
+	// HedgeDelay is how long after its time the answer of a call is waited for
 	// before another call is made beside it. Longer costs fewer calls, shorter
 	// makes up sooner for one that is lost. Default 300 ms: many times what a
 	// healthy store takes, and a seventh of the bound.
-	CallOverdue time.Duration
-	// LostAfter is how long after its time an answer is waited for before the
+	HedgeDelay time.Duration
+	// UnreachableAfter is how long after its time an answer is waited for before the
 	// store counts as lost. Default 800 ms.
-	LostAfter time.Duration
+	UnreachableAfter time.Duration
 	// CallTimeout bounds a call beyond its time. Longer still takes what comes
 	// over a full link, shorter frees its connection sooner. Default 2 s.
 	CallTimeout time.Duration
@@ -45,23 +45,23 @@
 	// more machines. Default 24: a change of a table of 150 KB, 15 KB deflated,
 	// is then sent in 0.3 s over a link of 10 Mbit/s.
 	NodesPerReader int
-	// NewsMaxAge is the age of the newest news at which a node that is not a
+	// PeerMaxStaleness is the age of the newest news at which a node that is not a
 	// reader turns to the store itself. Longer forgives slower readers, shorter
 	// leaves cut ones sooner; see WorstAge. Default 1.3 s, or 65% of ChangeBound if
 	// that is less.
-	NewsMaxAge time.Duration
-	// NewsWait is how long a node that is asked for news may wait for some.
+	PeerMaxStaleness time.Duration
+	// PeerHoldTime is how long a node that is asked for news may wait for some.
 	// Default 1 s.
-	NewsWait time.Duration
-	// NewsTimeout bounds a question for news. Default 1.8 s.
-	NewsTimeout time.Duration
-	// NewsRetry is the wait after a failed question, and drawn up to twice that.
+	PeerHoldTime time.Duration
+	// PeerTimeout bounds a question for news. Default 1.8 s.
+	PeerTimeout time.Duration
+	// PeerRetryDelay is the wait after a failed question, and drawn up to twice that.
 	// Default 200 ms.
-	NewsRetry time.Duration
-	// TableGrace is how long a node waits for a newer table from its first source
+	PeerRetryDelay time.Duration
+	// SecondSourceDelay is how long a node waits for a newer table from its first source
 	// before it fetches it from the second: both have it, one copy is enough.
 	// Default 250 ms.
-	TableGrace time.Duration
+	SecondSourceDelay time.Duration
 
 	// LinkMbps is the rate of this machine's link in Mbit/s, by which readers are chosen;
 	// 0 if it is not known.
@@ -99,47 +99,47 @@
 	c.ChangeBound = bound
 	c.WatchWait = min(c.WatchWait, share(watchShare))
 	c.MinGap = min(c.MinGap, share(gapShare))
-	c.NewsMaxAge = min(c.NewsMaxAge, share(newsShare))
-	c.CallOverdue = min(c.CallOverdue, share(overdueShare))
+	c.PeerMaxStaleness = min(c.PeerMaxStaleness, share(newsShare))
+	c.HedgeDelay = min(c.HedgeDelay, share(overdueShare))
 	return c
 }
 
-// WorstAge returns the greatest age of the news of a node whose calls of the store
+// MaxStaleness returns the greatest age of the news of a node whose calls of the store
 // are answered at once but for so many in a row that are not answered at all,
 // whatever befalls all other nodes. The node asks when its news are as old as
 // NewsMaxAge, and again after each call that is overdue.
-func (c Config) WorstAge(unanswered int) time.Duration {
-	age := c.NewsMaxAge
+func (c Config) MaxStaleness(unanswered int) time.Duration {
+	age := c.PeerMaxStaleness
 	for i := range unanswered {
-		age += doubled(c.CallOverdue, i, max(c.CallOverdue, c.FollowerBackoffMax))
+		age += doubled(c.HedgeDelay, i, max(c.HedgeDelay, c.FollowerBackoffMax))
 	}
 	return age
 }
 
-// AnswerTime is what is left of Config.ChangeBound for an answer of the store and
+// ResponseAllowance is what is left of Config.ChangeBound for an answer of the store and
 // for a request under way: 50 times what a healthy store takes.
-const AnswerTime = 200 * time.Millisecond
+const ResponseAllowance = 200 * time.Millisecond
 
-// Bounded reports whether a change is in force within ChangeBound though one call
+// WithinChangeBound reports whether a change is in force within ChangeBound though one call
 // of the store is not answered.
-func (c Config) Bounded() bool { return c.WorstAge(1)+AnswerTime <= c.ChangeBound }
+func (c Config) WithinChangeBound() bool { return c.MaxStaleness(1)+ResponseAllowance <= c.ChangeBound }
 
 func defaults() Config {
 	return Config{
 		WatchWait:          700 * time.Millisecond,
 		MinGap:             500 * time.Millisecond,
-		CallOverdue:        300 * time.Millisecond,
-		LostAfter:          800 * time.Millisecond,
+		HedgeDelay:         300 * time.Millisecond,
+		UnreachableAfter:   800 * time.Millisecond,
 		CallTimeout:        2 * time.Second,
 		ListTime:           time.Second,
 		BackoffMin:         60 * time.Millisecond,
 		BackoffMax:         400 * time.Millisecond,
 		FollowerBackoffMax: 1500 * time.Millisecond,
 		NodesPerReader:     24,
-		NewsMaxAge:         1300 * time.Millisecond,
-		NewsWait:           time.Second,
-		NewsTimeout:        1800 * time.Millisecond,
-		NewsRetry:          200 * time.Millisecond,
-		TableGrace:         250 * time.Millisecond,
+		PeerMaxStaleness:   1300 * time.Millisecond,
+		PeerHoldTime:       time.Second,
+		PeerTimeout:        1800 * time.Millisecond,
+		PeerRetryDelay:     200 * time.Millisecond,
+		SecondSourceDelay:  250 * time.Millisecond,
 	}
 }
--- a/internal/discovery/directory.go
+++ b/internal/discovery/directory.go
@@ -3,19 +3,19 @@
 import (
 	"net/netip"
 
-	"github.com/walldrift/walldrift/internal/cowmap"
+	"github.com/walldrift/walldrift/internal/immutable"
 	"github.com/walldrift/walldrift/internal/membership"
 )
 
 // Directory is one immutable state of the discovered upstreams.
 type Directory struct {
-	members   *cowmap.Map[string, membership.Member]
-	byAddress *cowmap.Map[netip.AddrPort, Known]
+	members   *immutable.Map[string, membership.Member]
+	byAddress *immutable.Map[netip.AddrPort, KnownUpstream]
 	evacuated map[string]bool // data centres whose upstreams get nothing
 }
 
 // At returns the upstream published at an address.
-func (d *Directory) At(a netip.AddrPort) (Known, bool) { return d.byAddress.Get(a) }
+func (d *Directory) At(a netip.AddrPort) (KnownUpstream, bool) { return d.byAddress.Get(a) }
 
 // Evacuated reports whether the upstreams of a data centre are to get nothing.
 func (d *Directory) Evacuated(centre string) bool { return d.evacuated[centre] }
@@ -24,19 +24,19 @@
 type directoryChange struct {
 	set       map[string]membership.Member
 	gone      []string
-	at        map[netip.AddrPort]Known
+	at        map[netip.AddrPort]KnownUpstream
 	left      []netip.AddrPort
 	evacuated map[string]bool
 }
 
 // apply returns the directory after the change.
 func (c *directoryChange) apply(d *Directory) *Directory {
-	return &Directory{members: d.members.Change(c.set, c.gone), byAddress: d.byAddress.Change(c.at, c.left), evacuated: c.evacuated}
+	return &Directory{members: d.members.Update(c.set, c.gone), byAddress: d.byAddress.Update(c.at, c.left), evacuated: c.evacuated}
 }
 
 // differences returns how the directory differs at what was touched. The lock is held.
 func (f *Follower) differences(d *Directory, t touched) *directoryChange {
-	c := &directoryChange{set: make(map[string]membership.Member, len(t.ids)), at: make(map[netip.AddrPort]Known, len(t.addresses)), evacuated: d.evacuated}
+	c := &directoryChange{set: make(map[string]membership.Member, len(t.ids)), at: make(map[netip.AddrPort]KnownUpstream, len(t.addresses)), evacuated: d.evacuated}
 	for address := range t.addresses {
 		if k, ok := f.registry.at(f.services, address); ok {
 			c.at[address] = f.mayBeCold(k)
@@ -58,7 +58,7 @@
 // everything returns how the directory differs anywhere: all that is believed, and the end
 // of all else. The lock is held.
 func (f *Follower) everything(d *Directory) *directoryChange {
-	c := &directoryChange{set: make(map[string]membership.Member), at: make(map[netip.AddrPort]Known), evacuated: make(map[string]bool)}
+	c := &directoryChange{set: make(map[string]membership.Member), at: make(map[netip.AddrPort]KnownUpstream), evacuated: make(map[string]bool)}
 	for _, e := range f.registry.Evacuated() {
 		c.evacuated[e.DataCentre] = true
 	}
@@ -83,23 +83,23 @@
 }
 
 // member returns what routing knows of an upstream. The lock is held.
-func (f *Follower) member(k Known, evacuated map[string]bool) membership.Member {
+func (f *Follower) member(k KnownUpstream, evacuated map[string]bool) membership.Member {
 	m := membership.Member{Instance: membership.Instance{
 		Name:       k.ID,
 		Service:    k.Service,
 		DataCentre: k.DataCentre,
 		Peer:       netip.AddrPortFrom(k.Address.Addr(), f.cfg.PeerPort),
-		State:      membership.Live,
-		Generation: k.Born,
+		State:      membership.ListedLive,
+		Generation: k.StartedAtMs,
 	}}
 	m.ColdFrom, m.ColdUntil = k.ColdFrom, k.ColdUntil
-	if k.Cold > 0 {
-		m.ColdSince = k.Seen
+	if k.ColdFor > 0 {
+		m.ColdSince = k.FirstSeen
 	}
 	m.ColdRate = f.coldShare(k.Service, len(f.registry.known))
 	m.Evacuated = evacuated[k.DataCentre]
 	if k.Leaving {
-		m.State, m.Status = membership.Leaving, membership.Departing
+		m.State, m.Status = membership.ListedLeaving, membership.Leaving
 	}
 	return m
 }
--- a/internal/discovery/doc.go
+++ b/internal/discovery/doc.go
@@ -35,18 +35,18 @@
 	DataCentre string         `cbor:"4,keyasint"`
 	Slots      int            `cbor:"5,keyasint"` // requests it works on at once
 	Leaving    bool           `cbor:"6,keyasint,omitempty"`
-	// Cold is how long it stays slow after its start, from the time of Revision; 0
+	// ColdFor is how long it stays slow after its start, from the time of Revision; 0
 	// if it is warm.
-	Cold time.Duration `cbor:"7,keyasint,omitempty"`
+	ColdFor time.Duration `cbor:"7,keyasint,omitempty"`
 	// Revision orders the versions of the entry.
 	Revision uint64 `cbor:"8,keyasint"`
-	// Lapsed is set in news only: the entry has vanished with an outage of the
+	// ExpiresIn is set in news only: the entry has vanished with an outage of the
 	// store and is believed for this time still.
-	Lapsed time.Duration `cbor:"9,keyasint,omitempty"`
-	// Born is when the process started, in milliseconds since 1970 by its own
+	ExpiresIn time.Duration `cbor:"9,keyasint,omitempty"`
+	// StartedAtMs is when the process started, in milliseconds since 1970 by its own
 	// clock; 0 if it is not told. A process may start again under its ID: of two
 	// with one ID that with the later start is the one that lives.
-	Born uint64 `cbor:"10,keyasint,omitempty"`
+	StartedAtMs uint64 `cbor:"10,keyasint,omitempty"`
 }
 
 // Document is one published version of the table.
@@ -55,21 +55,21 @@
 	Table *table.Table // without upstreams
 	// Limits bound what callers may send.
 	Limits CallerLimits
-	// Starts tells how the upstreams of a service start, by its name.
-	Starts map[string]StartTerms
-	Raw    []byte
+	// ColdStarts tells how the upstreams of a service start, by its name.
+	ColdStarts map[string]ColdStart
+	Raw        []byte
 	// Findings are defects of the table, which is in force but for them.
 	Findings table.Findings
 }
 
-// StartTerms tell how the upstreams of a service start, and how to ask one.
-type StartTerms struct {
-	// Cold is how long one is cold after its start, and Rate the requests a second
+// ColdStart tell how the upstreams of a service start, and how to ask one.
+type ColdStart struct {
+	// Duration is how long one is cold after its start, and Rate the requests a second
 	// that it bears then; 0 for any.
-	Cold time.Duration
-	Rate float64
-	// Health is the path at which an upstream tells of itself; empty if none does.
-	Health string
+	Duration time.Duration
+	Rate     float64
+	// HealthPath is the path at which an upstream tells of itself; empty if none does.
+	HealthPath string
 }
 
 // CallerLimits bound what callers may send; 0 means the default.
@@ -85,8 +85,8 @@
 type Removal struct {
 	ID       string `cbor:"1,keyasint"`
 	Revision uint64 `cbor:"2,keyasint"`
-	// Unusable says what is wrong with what is published; empty if nothing is.
-	Unusable string `cbor:"3,keyasint,omitempty"`
+	// InvalidReason says what is wrong with what is published; empty if nothing is.
+	InvalidReason string `cbor:"3,keyasint,omitempty"`
 }
 
 // Finding is a defect of a published entry, which is left out.
@@ -114,8 +114,8 @@
 	// Evacuations are orders that the upstreams of a data centre get nothing, and
 	// ends of such orders.
 	Evacuations []Evacuation
-	// Orders says that Evacuations has all that are in force, if the update is whole.
-	Orders bool
+	// HasEvacuations says that Evacuations has all that are in force, if the update is whole.
+	HasEvacuations bool
 }
 
 // empty reports whether the call brought nothing but a revision.
@@ -132,9 +132,9 @@
 type Source interface {
 	// List returns all that is published.
 	List(ctx context.Context) (Update, error)
-	// Glance returns all that was published lately, for a tenth of the price of
+	// ListStale returns all that was published lately, for a tenth of the price of
 	// List. It may be seconds old.
-	Glance(ctx context.Context) (Update, error)
+	ListStale(ctx context.Context) (Update, error)
 	// Watch waits until something has changed since the revision, or for the
 	// given time, and returns the changes.
 	Watch(ctx context.Context, after uint64, wait time.Duration) (Update, error)
--- a/internal/discovery/ends.go
+++ b/internal/discovery/ends.go
@@ -9,10 +9,10 @@
 // How upstreams end: at once, with a grace after an outage, or since something else
 // is published in their place; and how their ends are remembered.
 
-// LapseGrace is how long an upstream that vanished while the store was away is
+// OutageGrace is how long an upstream that vanished while the store was away is
 // still believed after the store's return: entries of live ones are back within
 // two seconds, and the rest is for the way of the news.
-const LapseGrace = 2200 * time.Millisecond
+const OutageGrace = 2200 * time.Millisecond
 
 // maxUnusable is the number of ends beyond which those of entries that cannot be
 // used are forgotten like all others; up to it they are kept, so that operators
@@ -48,9 +48,9 @@
 // LapseGrace.
 func (r *Registry) vanish(now time.Time, gone Removal) bool {
 	e := r.known[gone.ID]
-	if !e.Leaving && gone.Unusable == "" && r.Outage(now) {
+	if !e.Leaving && gone.InvalidReason == "" && r.InOutage(now) {
 		if e.lapsed == 0 {
-			r.lapse(e, gone.Revision, r.returned.Add(LapseGrace))
+			r.lapse(e, gone.Revision, r.returned.Add(OutageGrace))
 		}
 		return false
 	}
@@ -70,10 +70,10 @@
 	r.sequence++
 	r.gone[gone.ID] = tombstone{
 		revision: gone.Revision,
-		born:     max(r.known[gone.ID].Born, r.gone[gone.ID].born),
+		born:     max(r.known[gone.ID].StartedAtMs, r.gone[gone.ID].born),
 		at:       now,
 		sequence: r.sequence,
-		unusable: gone.Unusable,
+		unusable: gone.InvalidReason,
 	}
 	r.drop(gone.ID)
 }
@@ -84,7 +84,7 @@
 	var out []Removal
 	for id, t := range r.gone {
 		if t.unusable != "" {
-			out = append(out, Removal{ID: id, Revision: t.revision, Unusable: t.unusable})
+			out = append(out, Removal{ID: id, Revision: t.revision, InvalidReason: t.unusable})
 		}
 	}
 	slices.SortFunc(out, func(a, b Removal) int { return cmp.Compare(a.ID, b.ID) })
--- a/internal/discovery/evacuation.go
+++ b/internal/discovery/evacuation.go
@@ -12,7 +12,7 @@
 	DataCentre string `cbor:"1,keyasint"`
 	// Revision is that of the order, or of its end.
 	Revision uint64 `cbor:"2,keyasint"`
-	Over     bool   `cbor:"3,keyasint,omitempty"`
+	Ended    bool   `cbor:"3,keyasint,omitempty"`
 }
 
 // evacuation is an Evacuation with what this node knows of it.
@@ -49,8 +49,8 @@
 	}
 	var ends []Evacuation
 	for centre, e := range r.evacuations {
-		if !e.Over && !listed[centre] {
-			ends = append(ends, Evacuation{DataCentre: centre, Revision: revision, Over: true})
+		if !e.Ended && !listed[centre] {
+			ends = append(ends, Evacuation{DataCentre: centre, Revision: revision, Ended: true})
 		}
 	}
 	return r.takeEvacuations(now, ends)
@@ -59,7 +59,7 @@
 // forgetEvacuations forgets ends that are as old as tombstones may get.
 func (r *Registry) forgetEvacuations(now time.Time) {
 	for centre, e := range r.evacuations {
-		if e.Over && now.Sub(e.heard) > tombstoneLife {
+		if e.Ended && now.Sub(e.heard) > tombstoneLife {
 			r.forgotten = max(r.forgotten, e.sequence)
 			r.remembered = max(r.remembered, e.Revision)
 			r.evacuationChanges++
@@ -83,15 +83,15 @@
 type EvacuatedCentre struct {
 	DataCentre string
 	Revision   uint64
-	Heard      time.Time // when this node first heard of it
+	FirstSeen  time.Time // when this node first heard of it
 }
 
 // Evacuated returns the data centres whose upstreams get nothing, by name.
 func (r *Registry) Evacuated() []EvacuatedCentre {
 	var out []EvacuatedCentre
 	for _, e := range r.evacuations {
-		if !e.Over {
-			out = append(out, EvacuatedCentre{DataCentre: e.DataCentre, Revision: e.Revision, Heard: e.heard})
+		if !e.Ended {
+			out = append(out, EvacuatedCentre{DataCentre: e.DataCentre, Revision: e.Revision, FirstSeen: e.heard})
 		}
 	}
 	slices.SortFunc(out, func(a, b EvacuatedCentre) int { return cmp.Compare(a.DataCentre, b.DataCentre) })
@@ -101,7 +101,7 @@
 // reopened returns when this node heard that the evacuation of a data centre is over;
 // zero if it knows of none that ended a short while ago.
 func (r *Registry) reopened(centre string) time.Time {
-	if e, ok := r.evacuations[centre]; ok && e.Over {
+	if e, ok := r.evacuations[centre]; ok && e.Ended {
 		return e.heard
 	}
 	return time.Time{}
--- a/internal/discovery/evacuation_test.go
+++ b/internal/discovery/evacuation_test.go
@@ -22,7 +22,7 @@
 }
 
 func orderOver(centre string, revision uint64) Evacuation {
-	return Evacuation{DataCentre: centre, Revision: revision, Over: true}
+	return Evacuation{DataCentre: centre, Revision: revision, Ended: true}
 }
 
 // The later revision counts, whatever comes first.
@@ -38,12 +38,12 @@
 func TestEvacuationEndsByWordAlone(t *testing.T) {
 	r := NewRegistry()
 	r.Apply(start, Update{Revision: 5, Evacuations: []Evacuation{order("a", 5)}})
-	r.Lost()
+	r.MarkUnreachable()
 	r.Expire(start.Add(time.Hour))
 	assert.DeepEqual(t, evacuatedBy(r), map[string]bool{"a": true})
-	r.Replace(start.Add(time.Hour), Update{Revision: 4, Orders: true})
+	r.Replace(start.Add(time.Hour), Update{Revision: 4, HasEvacuations: true})
 	assert.DeepEqual(t, evacuatedBy(r), map[string]bool{"a": true})
-	r.Replace(start.Add(time.Hour), Update{Revision: 6, Orders: true})
+	r.Replace(start.Add(time.Hour), Update{Revision: 6, HasEvacuations: true})
 	assert.Equal(t, len(r.Evacuated()), 0)
 }
 
@@ -53,7 +53,7 @@
 	r.Apply(start, Update{Revision: 5, Evacuations: []Evacuation{order("a", 5)}})
 	r.Merge(start, Update{Revision: 9}, true, true)
 	assert.DeepEqual(t, evacuatedBy(r), map[string]bool{"a": true})
-	r.Merge(start, Update{Revision: 9, Orders: true}, true, true)
+	r.Merge(start, Update{Revision: 9, HasEvacuations: true}, true, true)
 	assert.Equal(t, len(r.Evacuated()), 0)
 }
 
@@ -71,7 +71,7 @@
 		var past []Update // whole listings of earlier revisions
 		revision, cursor := uint64(0), uint64(0)
 		listing := func() Update {
-			u := Update{Revision: revision, Orders: true}
+			u := Update{Revision: revision, HasEvacuations: true}
 			for centre, rev := range present {
 				u.Evacuations = append(u.Evacuations, order(centre, rev))
 			}
@@ -83,7 +83,7 @@
 			o.Revision = revision
 			log = append(log, o)
 			delete(present, o.DataCentre)
-			if !o.Over {
+			if !o.Ended {
 				present[o.DataCentre] = revision
 			}
 		}
@@ -99,7 +99,7 @@
 		centre := rapid.SampledFrom([]string{"a", "b", "c"})
 		t.Repeat(map[string]func(*rapid.T){
 			"evacuate": func(t *rapid.T) { write(Evacuation{DataCentre: centre.Draw(t, "centre")}) },
-			"end":      func(t *rapid.T) { write(Evacuation{DataCentre: centre.Draw(t, "centre"), Over: true}) },
+			"end":      func(t *rapid.T) { write(Evacuation{DataCentre: centre.Draw(t, "centre"), Ended: true}) },
 			"read":     func(*rapid.T) { read() },
 			"list":     func(*rapid.T) { reader.Replace(now, listing()) },
 			"stale list": func(t *rapid.T) {
@@ -107,7 +107,7 @@
 					reader.Replace(now, rapid.SampledFrom(past).Draw(t, "listing"))
 				}
 			},
-			"outage": func(*rapid.T) { reader.Lost() },
+			"outage": func(*rapid.T) { reader.MarkUnreachable() },
 			"hear":   func(*rapid.T) { hear() },
 			"hear anew": func(*rapid.T) {
 				cursor = 0
--- a/internal/discovery/fleet_test.go
+++ b/internal/discovery/fleet_test.go
@@ -84,7 +84,7 @@
 		if trickles == 0 {
 			<-ctx.Done()
 		}
-		Arrived(ctx, trickles)
+		ReportProgress(ctx, trickles)
 		wait(ctx, 50*time.Millisecond)
 		if ctx.Err() != nil {
 			return ctx.Err()
@@ -125,8 +125,8 @@
 	return u, n.deliver(ctx, listing)
 }
 
-// Glance returns what was published store.behind changes ago, and is counted apart.
-func (n *testNode) Glance(ctx context.Context) (Update, error) {
+// ListStale returns what was published store.behind changes ago, and is counted apart.
+func (n *testNode) ListStale(ctx context.Context) (Update, error) {
 	if err := n.call(ctx); err != nil {
 		return Update{}, err
 	}
@@ -181,35 +181,35 @@
 }
 
 // Ask asks another node over the codec, as on the wire.
-func (n *testNode) Ask(ctx context.Context, node netip.AddrPort, ask Ask) (News, error) {
+func (n *testNode) Ask(ctx context.Context, node netip.AddrPort, ask PeerRequest) (PeerUpdate, error) {
 	n.store.mu.Lock()
 	n.store.asked++
 	n.store.mu.Unlock()
 	to, ok := n.fleet.nodes[node.Addr()]
 	if !ok {
-		return News{}, errors.New("no node there")
+		return PeerUpdate{}, errors.New("no node there")
 	}
 	_, silent, dead := to.state()
 	if dead {
-		return News{}, errors.New("connection refused")
+		return PeerUpdate{}, errors.New("connection refused")
 	}
 	if silent {
 		<-ctx.Done()
-		return News{}, ctx.Err()
+		return PeerUpdate{}, ctx.Err()
 	}
-	news, err := to.follower.NewsAfter(ctx, ask)
+	news, err := to.follower.PeerUpdateAfter(ctx, ask)
 	if err != nil {
-		return News{}, err
+		return PeerUpdate{}, err
 	}
 	raw, err := cbor.Marshal(news)
 	if err != nil {
-		return News{}, err
+		return PeerUpdate{}, err
 	}
 	to.mu.Lock()
 	way := to.way
 	to.mu.Unlock()
 	wait(ctx, way)
-	var out News
+	var out PeerUpdate
 	return out, cbor.Unmarshal(raw, &out)
 }
 
--- a/internal/discovery/follow_peers.go
+++ b/internal/discovery/follow_peers.go
@@ -34,19 +34,19 @@
 			link = peerLink{source: source}
 			if slot > 0 && !f.sure() {
 				// The first source tells all; this one then tells what came after it.
-				wait(ctx, f.cfg.TableGrace)
+				wait(ctx, f.cfg.SecondSourceDelay)
 			}
 		}
 		asked := clock.Now()
 		announced, err := f.askOnce(ctx, slot, &link)
 		if err != nil {
 			f.peerFailed(ctx, &link, clock.Since(asked), err)
-			wait(ctx, f.cfg.NewsRetry+rand.N(f.cfg.NewsRetry+1))
+			wait(ctx, f.cfg.PeerRetryDelay+rand.N(f.cfg.PeerRetryDelay+1))
 			continue
 		}
 		if announced.Newer(f.holds()) && !link.wantTable {
 			// The first source sends the table; this one does if that fails.
-			wait(ctx, f.cfg.TableGrace)
+			wait(ctx, f.cfg.SecondSourceDelay)
 		}
 		link.wantTable = announced.Newer(f.holds())
 	}
@@ -56,7 +56,7 @@
 func (f *Follower) sure() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.registry.SureRevision() > 0
+	return f.registry.CompleteRevision() > 0
 }
 
 // sourceAt returns the node that a slot follows now; none for a reader that
@@ -65,7 +65,7 @@
 func (f *Follower) sourceAt(slot int) (membership.Instance, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	inTime := f.awaySince.IsZero() && clock.Since(f.current) < f.cfg.NewsMaxAge
+	inTime := f.awaySince.IsZero() && clock.Since(f.current) < f.cfg.PeerMaxStaleness
 	if slot >= len(f.sources) || f.reader && inTime {
 		return membership.Instance{}, false
 	}
@@ -75,10 +75,10 @@
 // askOnce asks for news and takes them over. It returns the version of the table
 // that the source holds.
 func (f *Follower) askOnce(ctx context.Context, slot int, link *peerLink) (version.ID, error) {
-	call, cancel := context.WithTimeout(ctx, f.cfg.NewsTimeout)
+	call, cancel := context.WithTimeout(ctx, f.cfg.PeerTimeout)
 	defer cancel()
 	sent := clock.Now()
-	ask := Ask{After: link.cursor, Table: f.holds(), WantTable: slot == 0 || link.wantTable, Age: f.knownAge(sent), Patches: !link.wantWhole}
+	ask := PeerRequest{After: link.cursor, Table: f.holds(), IncludeTable: slot == 0 || link.wantTable, Age: f.knownAge(sent), AcceptPatch: !link.wantWhole}
 	f.tellKnown(&ask, link)
 	n, err := f.peers.Ask(call, link.source.Peer, ask)
 	if err != nil {
@@ -88,7 +88,7 @@
 		link.failing = false
 		f.log.Info("news regained", "source", link.source.Name, "age", n.Age)
 	}
-	if err := f.takeNews(ctx, sent.Add(n.Held-n.Age), link.source.Name, n); err != nil {
+	if err := f.takeNews(ctx, sent.Add(n.HoldTime-n.Age), link.source.Name, n); err != nil {
 		if len(n.Patch) > 0 {
 			link.wantWhole = true
 			f.log.Warn("difference of tables not taken, asking for the whole", "source", link.source.Name, "base", n.Base, "version", n.Table, "err", err)
@@ -124,7 +124,7 @@
 // takeNews takes over what another node believes and knew to be all at a time.
 // Where that node holds a newer table than this one does then, this one is not
 // current.
-func (f *Follower) takeNews(ctx context.Context, at time.Time, from string, n News) error {
+func (f *Follower) takeNews(ctx context.Context, at time.Time, from string, n PeerUpdate) error {
 	now := clock.Now()
 	doc, err := f.restore(ctx, n)
 	if err != nil {
@@ -138,8 +138,8 @@
 	if n.Outage {
 		f.noteOutage(now, now) // others did not reach the store either
 	}
-	u := Update{Revision: n.Revision, Upstreams: n.Upstreams, Removed: n.Removed, Evacuations: n.Evacuations, Orders: n.Orders}
-	changed = f.registry.Merge(now, u, n.Whole, !behind) || changed
+	u := Update{Revision: n.Revision, Upstreams: n.Upstreams, Removed: n.Removed, Evacuations: n.Evacuations, HasEvacuations: n.HasEvacuations}
+	changed = f.registry.Merge(now, u, n.Full, !behind) || changed
 	changed = f.registry.Expire(now) || changed
 	if changed {
 		f.changed(from)
@@ -155,10 +155,10 @@
 }
 
 // tellKnown adds to a question what this node knows of the store and of links.
-func (f *Follower) tellKnown(ask *Ask, link *peerLink) {
+func (f *Follower) tellKnown(ask *PeerRequest, link *peerLink) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	ask.Revision = f.registry.SureRevision()
+	ask.Revision = f.registry.CompleteRevision()
 	ask.Link, ask.LinksHash = f.ownLink(), f.links.hash
 	if ask.LinksHash != link.linksHash {
 		ask.Links = f.links.told
@@ -166,7 +166,7 @@
 }
 
 // restore returns the table that came with news; nil if none did.
-func (f *Follower) restore(ctx context.Context, n News) (*Document, error) {
+func (f *Follower) restore(ctx context.Context, n PeerUpdate) (*Document, error) {
 	if len(n.Patch) > 0 {
 		return f.restorePatch(ctx, n)
 	}
@@ -182,7 +182,7 @@
 
 // restorePatch is restore for a difference. Where another source has brought a newer
 // table meanwhile, there is nothing to restore.
-func (f *Follower) restorePatch(ctx context.Context, n News) (*Document, error) {
+func (f *Follower) restorePatch(ctx context.Context, n PeerUpdate) (*Document, error) {
 	f.mu.Lock()
 	base := f.document
 	f.mu.Unlock()
--- a/internal/discovery/follow_store.go
+++ b/internal/discovery/follow_store.go
@@ -109,7 +109,7 @@
 
 // start makes a call of the store in the background.
 func (f *Follower) start(ctx context.Context, group *sync.WaitGroup, calls *schedule, c *storeCall, answers chan<- storeAnswer) {
-	call, cancel := context.WithTimeout(WithArrivals(ctx, c.arrived), calls.timeout(c))
+	call, cancel := context.WithTimeout(WithProgress(ctx, c.arrived), calls.timeout(c))
 	c.cancel = cancel
 	calls.started(c)
 	group.Go(func() {
@@ -129,7 +129,7 @@
 	if c == nil || f.away.Load() != nil {
 		return rolePoll
 	}
-	left := c.due().Add(f.cfg.LostAfter).Sub(now)
+	left := c.due().Add(f.cfg.UnreachableAfter).Sub(now)
 	if left <= 0 {
 		f.lost(ctx, c.began, errOverdue)
 		return rolePoll
@@ -146,7 +146,7 @@
 		a.err = f.source.Check(ctx)
 	case callList:
 		if c.glance {
-			a.update, a.err = f.source.Glance(ctx)
+			a.update, a.err = f.source.ListStale(ctx)
 			break
 		}
 		a.update, a.err = f.source.List(ctx)
@@ -181,16 +181,16 @@
 func (f *Follower) need(now time.Time) (callKind, time.Duration, <-chan struct{}) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	fresh := f.cfg.NewsMaxAge - now.Sub(f.current)
+	fresh := f.cfg.PeerMaxStaleness - now.Sub(f.current)
 	if f.current.IsZero() {
 		fresh = f.firstNews.Sub(now)
 	}
 	byNews := !f.reader && fresh > 0
-	idle := byNews && f.listed && f.awaySince.IsZero() && !f.registry.Unconfirmed()
+	idle := byNews && f.listed && f.awaySince.IsZero() && !f.registry.HasUnconfirmedRemovals()
 	f.noteReading(now, !idle)
 	switch {
 	case idle:
-	case byNews && (f.listed || f.registry.Unconfirmed()):
+	case byNews && (f.listed || f.registry.HasUnconfirmedRemovals()):
 		return callCheck, 0, f.tick
 	case !f.listed, f.alone():
 		return callList, 0, f.tick
@@ -236,7 +236,7 @@
 func (f *Follower) backoffMax() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.reader && clock.Since(f.current) > f.cfg.NewsMaxAge {
+	if f.reader && clock.Since(f.current) > f.cfg.PeerMaxStaleness {
 		return f.cfg.BackoffMax
 	}
 	return f.cfg.FollowerBackoffMax
@@ -279,7 +279,7 @@
 	if beside || !f.awaySince.IsZero() {
 		return time.Millisecond
 	}
-	longest := min(f.cfg.WatchWait, f.cfg.NewsMaxAge-f.cfg.CallOverdue-age)
+	longest := min(f.cfg.WatchWait, f.cfg.PeerMaxStaleness-f.cfg.HedgeDelay-age)
 	if at, ok := f.registry.NextExpiry(); ok {
 		longest = min(longest, at.Sub(now))
 	}
--- a/internal/discovery/follower.go
+++ b/internal/discovery/follower.go
@@ -10,7 +10,7 @@
 
 	"github.com/charmbracelet/log"
 
-	"github.com/walldrift/walldrift/internal/cowmap"
+	"github.com/walldrift/walldrift/internal/immutable"
 	"github.com/walldrift/walldrift/internal/membership"
 	"github.com/walldrift/walldrift/internal/periodic"
 	"github.com/walldrift/walldrift/internal/snapshot"
@@ -31,7 +31,7 @@
 
 	dir    atomic.Pointer[Directory]
 	limits atomic.Pointer[CallerLimits]
-	starts atomic.Pointer[map[string]StartTerms]
+	starts atomic.Pointer[map[string]ColdStart]
 	calls  atomic.Int64              // of the store
 	away   atomic.Pointer[time.Time] // awaySince; nil while the store answers
 	// currentAt is current, for those who do not take the lock; nil for none.
@@ -85,7 +85,7 @@
 		steps:    table.Steps{MaxSteps: maxSteps, MaxBytes: maxStepBytes},
 		reader:   true, // until the first listing tells
 	}
-	f.dir.Store(&Directory{members: cowmap.Of[string, membership.Member](nil), byAddress: cowmap.Of[netip.AddrPort, Known](nil)})
+	f.dir.Store(&Directory{members: immutable.New[string, membership.Member](nil), byAddress: immutable.New[netip.AddrPort, KnownUpstream](nil)})
 	f.limits.Store(&CallerLimits{})
 	return f
 }
@@ -108,9 +108,9 @@
 // Limits returns the limits on callers in force.
 func (f *Follower) Limits() CallerLimits { return *f.limits.Load() }
 
-// AwayFor returns how long the store has not answered this node; 0 if it did
+// StoreUnreachableFor returns how long the store has not answered this node; 0 if it did
 // when it was last called.
-func (f *Follower) AwayFor(now time.Time) time.Duration {
+func (f *Follower) StoreUnreachableFor(now time.Time) time.Duration {
 	since := f.away.Load()
 	if since == nil {
 		return 0
@@ -123,9 +123,9 @@
 
 // Status tells where a follower stands.
 type Status struct {
-	Reader  bool          // reads the store for others
-	Sources []string      // nodes whose news it follows
-	Age     time.Duration // since it last knew all that was published
+	Reader    bool          // reads the store for others
+	Sources   []string      // nodes whose news it follows
+	Staleness time.Duration // since it last knew all that was published
 	// TableAge is the time since the table in force came, and TableFrom where it
 	// came from: SourceStore or the node whose news had it.
 	TableAge  time.Duration
@@ -144,17 +144,17 @@
 	return now.Sub(f.current).String()
 }
 
-// Resumed looks anew at what is needed, as the machine was suspended and all that is
+// HandleResume looks anew at what is needed, as the machine was suspended and all that is
 // known has become older.
-func (f *Follower) Resumed() {
+func (f *Follower) HandleResume() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.announce()
 }
 
-// Age returns the time since this node last knew all that was published; 0 if it
+// Staleness returns the time since this node last knew all that was published; 0 if it
 // never did. It never waits for the lock, as requests ask.
-func (f *Follower) Age(now time.Time) time.Duration {
+func (f *Follower) Staleness(now time.Time) time.Duration {
 	at := f.currentAt.Load()
 	if at == nil {
 		return 0
@@ -167,7 +167,7 @@
 	if f.currentAt.Load() == nil {
 		return unknownAge
 	}
-	return f.Age(now)
+	return f.Staleness(now)
 }
 
 // know notes that all that the store held at a time is known. The lock is held.
@@ -185,7 +185,7 @@
 func (f *Follower) Status(now time.Time) Status {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	s := Status{Reader: f.reader, Age: now.Sub(f.current), TableFrom: f.from, Unusable: f.registry.Unusable(), Evacuated: f.registry.Evacuated()}
+	s := Status{Reader: f.reader, Staleness: now.Sub(f.current), TableFrom: f.from, Unusable: f.registry.Unusable(), Evacuated: f.registry.Evacuated()}
 	if !f.since.IsZero() {
 		s.TableAge = now.Sub(f.since)
 	}
@@ -210,10 +210,10 @@
 
 // Run follows the source and the peers until ctx ends.
 func (f *Follower) Run(ctx context.Context) {
-	ctx = WithPauses(ctx, time.Sleep)
+	ctx = WithPacing(ctx, time.Sleep)
 	var group sync.WaitGroup
 	if f.peers != nil {
-		for slot := range membership.MaxNewsSources {
+		for slot := range membership.MaxUpdateSources {
 			group.Go(func() { f.followPeers(ctx, slot) })
 		}
 		group.Go(func() {
--- a/internal/discovery/follower_test.go
+++ b/internal/discovery/follower_test.go
@@ -36,7 +36,7 @@
 	return s.state, s.fail
 }
 
-func (s *fakeSource) Glance(ctx context.Context) (Update, error) { return s.List(ctx) }
+func (s *fakeSource) ListStale(ctx context.Context) (Update, error) { return s.List(ctx) }
 
 func (s *fakeSource) Watch(ctx context.Context, after uint64, wait time.Duration) (Update, error) {
 	for end := time.Now().Add(wait); ; {
@@ -133,7 +133,7 @@
 		})
 		time.Sleep(time.Second)
 		m, ok := f.Member("a")
-		assert.Assert(t, ok && m.Status == membership.Departing)
+		assert.Assert(t, ok && m.Status == membership.Leaving)
 		assert.Equal(t, holder.ID().Edition, uint64(2))
 	})
 }
--- a/internal/discovery/foreign_test.go
+++ b/internal/discovery/foreign_test.go
@@ -17,7 +17,7 @@
 
 // rewritten is the change by which an entry names no upstream any more.
 func rewritten(id string, revision uint64) Update {
-	return Update{Revision: revision, Removed: []Removal{{ID: id, Revision: revision, Unusable: "Info: missing"}}}
+	return Update{Revision: revision, Removed: []Removal{{ID: id, Revision: revision, InvalidReason: "Info: missing"}}}
 }
 
 // An upstream whose entry was rewritten by something else is out of use at once,
@@ -43,11 +43,11 @@
 			r := NewRegistry()
 			r.Replace(start, listed(2, up("a", 1), up("b", 2)))
 			if away {
-				r.Lost()
+				r.MarkUnreachable()
 			}
 			assert.Assert(t, tell(r), name)
 			assert.DeepEqual(t, ids(r), []string{"b"})
-			assert.DeepEqual(t, r.Unusable(), []Removal{{ID: "a", Revision: 5, Unusable: "Info: missing"}})
+			assert.DeepEqual(t, r.Unusable(), []Removal{{ID: "a", Revision: 5, InvalidReason: "Info: missing"}})
 			assert.Assert(t, !r.Merge(start, listed(4, up("a", 4)), false, true), "late news do not bring it back")
 			assert.Assert(t, r.Apply(start, listed(6, up("a", 6))))
 			assert.DeepEqual(t, ids(r), []string{"a", "b"})
--- a/internal/discovery/incarnation_test.go
+++ b/internal/discovery/incarnation_test.go
@@ -13,13 +13,13 @@
 )
 
 func life(id string, born, revision uint64) Upstream {
-	return Upstream{ID: id, Born: born, Revision: revision}
+	return Upstream{ID: id, StartedAtMs: born, Revision: revision}
 }
 
 func bornOf(r *Registry) map[string]uint64 {
 	out := make(map[string]uint64)
 	for _, k := range r.Upstreams() {
-		out[k.ID] = k.Born
+		out[k.ID] = k.StartedAtMs
 	}
 	return out
 }
@@ -99,18 +99,18 @@
 				id := name.Draw(t, "id")
 				clock++
 				born[id], alive[id] = clock, clock
-				store.put(Upstream{ID: id, Born: clock})
+				store.put(Upstream{ID: id, StartedAtMs: clock})
 				follow(nodes[0]) // a life that nobody saw is none
 			},
 			"late word": func(t *rapid.T) {
 				id := name.Draw(t, "id")
 				if born[id] > 1 && alive[id] != 0 {
-					store.put(Upstream{ID: id, Born: rapid.Uint64Range(1, born[id]-1).Draw(t, "born"), Leaving: true})
+					store.put(Upstream{ID: id, StartedAtMs: rapid.Uint64Range(1, born[id]-1).Draw(t, "born"), Leaving: true})
 				}
 			},
 			"change": func(t *rapid.T) {
 				if id := name.Draw(t, "id"); alive[id] != 0 {
-					store.put(Upstream{ID: id, Born: alive[id]})
+					store.put(Upstream{ID: id, StartedAtMs: alive[id]})
 				}
 			},
 			"end": func(t *rapid.T) {
@@ -120,7 +120,7 @@
 			},
 			"follow": func(*rapid.T) { follow(nodes[0]) },
 			"merge":  func(*rapid.T) { merge() },
-			"direct": func(*rapid.T) { follow(nodes[1]); nodes[1].Confirm(start) },
+			"direct": func(*rapid.T) { follow(nodes[1]); nodes[1].ConfirmRemovals(start) },
 			"": func(t *rapid.T) {
 				for _, r := range nodes {
 					for id, at := range bornOf(r) {
@@ -130,7 +130,7 @@
 				follow(nodes[0])
 				assert.Assert(t, maps.Equal(bornOf(nodes[0]), alive), "%v, alive %v", bornOf(nodes[0]), alive)
 				merge()
-				nodes[1].Confirm(start)
+				nodes[1].ConfirmRemovals(start)
 				assert.Assert(t, maps.Equal(bornOf(nodes[1]), alive), "%v, alive %v", bornOf(nodes[1]), alive)
 			},
 		})
@@ -142,7 +142,7 @@
 func TestMemberOfALaterLife(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cold := published("a", 1)
-		cold.Born, cold.Cold = 100, 3*time.Second
+		cold.StartedAtMs, cold.ColdFor = 100, 3*time.Second
 		s := &fakeSource{state: Update{Revision: 1, Document: testDocument(1), Upstreams: []Upstream{cold}}}
 		f, _ := follow(t, s)
 		member := func(up Upstream) membership.Member {
@@ -156,14 +156,14 @@
 		first, _ := f.Member("a")
 		assert.Equal(t, first.Generation, uint64(100))
 		assert.Assert(t, !first.ColdSince.IsZero())
-		cold.Revision, cold.Cold = 2, 2*time.Second
+		cold.Revision, cold.ColdFor = 2, 2*time.Second
 		assert.Equal(t, member(cold).ColdSince, first.ColdSince)
 		again := cold
-		again.Revision, again.Born = 3, 200
+		again.Revision, again.StartedAtMs = 3, 200
 		m := member(again)
 		assert.Equal(t, m.Generation, uint64(200))
 		assert.Assert(t, m.ColdSince.After(first.ColdSince))
-		again.Revision, again.Cold = 4, 0
+		again.Revision, again.ColdFor = 4, 0
 		assert.Assert(t, member(again).ColdSince.IsZero())
 	})
 }
--- a/internal/discovery/links.go
+++ b/internal/discovery/links.go
@@ -85,7 +85,7 @@
 	if !ok {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, f.cfg.NewsTimeout)
+	ctx, cancel := context.WithTimeout(ctx, f.cfg.PeerTimeout)
 	defer cancel()
 	n, err := f.peers.Ask(ctx, node, ask)
 	if err != nil {
@@ -98,7 +98,7 @@
 
 // linksQuestion returns a node drawn at random and what to ask it; false if this node is
 // no reader or knows no other.
-func (f *Follower) linksQuestion() (node netip.AddrPort, ask Ask, ok bool) {
+func (f *Follower) linksQuestion() (node netip.AddrPort, ask PeerRequest, ok bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	own := f.ownLink()
@@ -114,6 +114,6 @@
 	if len(others) == 0 {
 		return node, ask, false
 	}
-	ask = Ask{Link: own, LinksHash: f.links.hash, Links: f.links.told, OnlyLinks: true}
+	ask = PeerRequest{Link: own, LinksHash: f.links.hash, Links: f.links.told, LinksOnly: true}
 	return others[rand.IntN(len(others))], ask, true
 }
--- a/internal/discovery/links_test.go
+++ b/internal/discovery/links_test.go
@@ -82,8 +82,8 @@
 		node.changed(SourceStore)
 		node.mu.Unlock()
 	}
-	var got News
-	way.spoil = func(n *News) { got = *n }
+	var got PeerUpdate
+	way.spoil = func(n *PeerUpdate) { got = *n }
 	var slot peerLink
 	ask := func() {
 		_, err := f.askOnce(t.Context(), 0, &slot)
--- a/internal/discovery/merge.go
+++ b/internal/discovery/merge.go
@@ -20,13 +20,13 @@
 func (r *Registry) Merge(now time.Time, u Update, whole, complete bool) bool {
 	before, sure := r.revision, r.sure
 	changed := false
-	if !r.Outage(now) {
+	if !r.InOutage(now) {
 		u.Upstreams, changed = r.hearLapsed(now, u)
 	}
 	u.Upstreams = r.notEnded(u.Upstreams)
 	changed = r.take(now, u) || changed
 	changed = r.takeEvacuations(now, u.Evacuations) || changed
-	if whole && u.Orders {
+	if whole && u.HasEvacuations {
 		changed = r.endUnlisted(now, u.Evacuations, u.Revision) || changed
 	}
 	for _, gone := range u.Removed {
@@ -52,7 +52,7 @@
 func (r *Registry) notEnded(told []Upstream) []Upstream {
 	return slices.DeleteFunc(slices.Clone(told), func(up Upstream) bool {
 		_, known := r.known[up.ID]
-		return !known && up.Revision <= r.SureRevision()
+		return !known && up.Revision <= r.CompleteRevision()
 	})
 }
 
@@ -60,7 +60,7 @@
 // and whether anything changed.
 func (r *Registry) hearLapsed(now time.Time, u Update) (published []Upstream, changed bool) {
 	for _, up := range u.Upstreams {
-		if up.Lapsed == 0 {
+		if up.ExpiresIn == 0 {
 			published = append(published, up)
 			continue
 		}
@@ -76,7 +76,7 @@
 // confirmed.
 func (r *Registry) hearEnd(now time.Time, gone Removal) bool {
 	e := r.known[gone.ID]
-	if e.Leaving || gone.Unusable != "" {
+	if e.Leaving || gone.InvalidReason != "" {
 		r.remove(now, gone)
 		return true
 	}
@@ -86,9 +86,9 @@
 	return false
 }
 
-// Unconfirmed reports whether upstreams are believed that vanished by the word
+// HasUnconfirmedRemovals reports whether upstreams are believed that vanished by the word
 // of other nodes.
-func (r *Registry) Unconfirmed() bool {
+func (r *Registry) HasUnconfirmedRemovals() bool {
 	for _, e := range r.known {
 		if e.unconfirmed() {
 			return true
@@ -99,10 +99,10 @@
 
 func (e entry) unconfirmed() bool { return e.lapsed != 0 && e.expires.IsZero() }
 
-// Confirm takes out the upstreams that vanished by the word of other nodes, as
+// ConfirmRemovals takes out the upstreams that vanished by the word of other nodes, as
 // the store answers this one. It reports whether there were any.
-func (r *Registry) Confirm(now time.Time) bool {
-	r.Reached(now)
+func (r *Registry) ConfirmRemovals(now time.Time) bool {
+	r.MarkReachable(now)
 	changed := false
 	for id, e := range r.known {
 		if e.unconfirmed() {
@@ -161,15 +161,15 @@
 		}
 		up := e.Upstream
 		if e.lapsed != 0 {
-			up.Lapsed = max(e.expires.Sub(now), time.Millisecond)
+			up.ExpiresIn = max(e.expires.Sub(now), time.Millisecond)
 		}
 		u.Upstreams = append(u.Upstreams, up)
 	}
 	for id, t := range r.gone {
 		if whole || b.lacks(t.sequence, t.revision) {
-			u.Removed = append(u.Removed, Removal{ID: id, Revision: t.revision, Unusable: t.unusable})
+			u.Removed = append(u.Removed, Removal{ID: id, Revision: t.revision, InvalidReason: t.unusable})
 		}
 	}
-	u.Evacuations, u.Orders = r.evacuationsIn(b), true
+	u.Evacuations, u.HasEvacuations = r.evacuationsIn(b), true
 	return u, whole
 }
--- a/internal/discovery/news.go
+++ b/internal/discovery/news.go
@@ -21,22 +21,22 @@
 	Sequence uint64 `cbor:"2,keyasint"`
 }
 
-// Ask asks a node for its news.
-type Ask struct {
+// PeerRequest asks a node for its news.
+type PeerRequest struct {
 	After Cursor     `cbor:"1,keyasint"`
 	Table version.ID `cbor:"2,keyasint"` // held by the asking node
-	// WantTable asks for the newer table itself, not only for its ID.
-	WantTable bool `cbor:"3,keyasint,omitempty"`
-	// Patches says that the asking node takes the difference of a table in place of a
+	// IncludeTable asks for the newer table itself, not only for its ID.
+	IncludeTable bool `cbor:"3,keyasint,omitempty"`
+	// AcceptPatch says that the asking node takes the difference of a table in place of a
 	// whole one; one of an earlier build does not.
-	Patches bool `cbor:"5,keyasint,omitempty"`
+	AcceptPatch bool `cbor:"5,keyasint,omitempty"`
 	// Link is that of the asking node. LinksHash is that of the links that it knows of
 	// candidates for readers, and Links are these, where the asked node knew others.
 	Link      NodeLink   `cbor:"6,keyasint,omitempty"`
 	LinksHash uint64     `cbor:"7,keyasint,omitempty"`
 	Links     []NodeLink `cbor:"8,keyasint,omitempty"`
-	// OnlyLinks asks for nothing else, at once.
-	OnlyLinks bool `cbor:"9,keyasint,omitempty"`
+	// LinksOnly asks for nothing else, at once.
+	LinksOnly bool `cbor:"9,keyasint,omitempty"`
 	// Revision is that of the store up to which the asking node knows all, whoever told it:
 	// one that asks for the first time is told what came after it.
 	Revision uint64 `cbor:"10,keyasint,omitempty"`
@@ -44,9 +44,9 @@
 	Age time.Duration `cbor:"4,keyasint,omitempty"`
 }
 
-// News is what a node believes and the asking one does not know yet. Fields that
+// PeerUpdate is what a node believes and the asking one does not know yet. Fields that
 // are not known are passed over, so that a fleet is upgraded node by node.
-type News struct {
+type PeerUpdate struct {
 	Cursor Cursor `cbor:"1,keyasint"`
 	// Revision is that of the store, up to which the sender knows all.
 	Revision uint64 `cbor:"2,keyasint"`
@@ -56,19 +56,19 @@
 	Table version.ID    `cbor:"4,keyasint"` // held by the sender
 	// Document is the sender's table, deflated; empty if not asked for or known.
 	Document []byte `cbor:"5,keyasint,omitempty"`
-	// Whole says that Upstreams has all that the sender believes.
-	Whole     bool       `cbor:"6,keyasint,omitempty"`
+	// Full says that Upstreams has all that the sender believes.
+	Full      bool       `cbor:"6,keyasint,omitempty"`
 	Upstreams []Upstream `cbor:"7,keyasint,omitempty"`
 	Removed   []Removal  `cbor:"8,keyasint,omitempty"`
-	// Held is how long the sender kept the question, so that the asking node knows
+	// HoldTime is how long the sender kept the question, so that the asking node knows
 	// when it was answered at the earliest, whatever the way took.
-	Held time.Duration `cbor:"9,keyasint,omitempty"`
+	HoldTime time.Duration `cbor:"9,keyasint,omitempty"`
 	// Outage says that the store was away for the sender a short while ago.
 	Outage bool `cbor:"10,keyasint,omitempty"`
 	// Evacuations are orders of operators. Orders says that they are told at all,
 	// which nodes of earlier builds do not.
-	Evacuations []Evacuation `cbor:"11,keyasint,omitempty"`
-	Orders      bool         `cbor:"12,keyasint,omitempty"`
+	Evacuations    []Evacuation `cbor:"11,keyasint,omitempty"`
+	HasEvacuations bool         `cbor:"12,keyasint,omitempty"`
 	// Patch is the difference of the sender's table against Base, in place of
 	// Document: splices, encoded and deflated.
 	Patch []byte     `cbor:"13,keyasint,omitempty"`
--- a/internal/discovery/news_test.go
+++ b/internal/discovery/news_test.go
@@ -107,7 +107,7 @@
 		readers, others := f.roles()
 		assert.Equal(t, f.lacking(others, 2, ""), 0)
 		assert.Equal(t, f.lacking(readers, 2, ""), 0)
-		time.Sleep(LapseGrace + drainBound)
+		time.Sleep(OutageGrace + drainBound)
 		assert.Equal(t, f.lacking(others, 2, "a-1"), 0)
 		assert.Equal(t, f.lacking(readers, 2, "a-1"), 0)
 		before = f.store.count()
@@ -141,7 +141,7 @@
 			assert.Assert(t, knows, "%v is cut off and keeps it", n.addr)
 			n.set(func(n *testNode) { n.cut = false })
 		}
-		time.Sleep(LapseGrace + 2*drainBound)
+		time.Sleep(OutageGrace + 2*drainBound)
 		assert.Equal(t, f.lacking(cut, 2, lapsed), 0)
 	})
 }
@@ -208,7 +208,7 @@
 			"remove": func(t *rapid.T) { store.remove(name.Draw(t, "id")) },
 			"follow": func(t *rapid.T) { follow(sources[source.Draw(t, "source")]) },
 			"merge":  func(t *rapid.T) { merge(source.Draw(t, "source")) },
-			"direct": func(*rapid.T) { follow(merged); merged.Confirm(now) },
+			"direct": func(*rapid.T) { follow(merged); merged.ConfirmRemovals(now) },
 			"restart": func(t *rapid.T) {
 				i := source.Draw(t, "source")
 				sources[i], cursors[i] = NewRegistry(), 0
@@ -223,7 +223,7 @@
 				i := source.Draw(t, "source")
 				follow(sources[i])
 				merge(i)
-				merged.Confirm(now)
+				merged.ConfirmRemovals(now)
 				assert.Assert(t, maps.Equal(held(), store.present()), "holds %v, published is %v", held(), store.present())
 			},
 			"": func(t *rapid.T) {
@@ -241,7 +241,7 @@
 func lapsedElsewhere() (news Update, whole bool, follower *Registry) {
 	reader, follower := NewRegistry(), NewRegistry()
 	reader.Replace(start, listed(2, up("a", 1), up("b", 2)))
-	reader.Lost()
+	reader.MarkUnreachable()
 	reader.Replace(start, listed(9, up("b", 2)))
 	news, whole = reader.Since(start, 0)
 	follower.Replace(start, listed(2, up("a", 1), up("b", 2)))
@@ -254,8 +254,8 @@
 	u, whole, follower := lapsedElsewhere()
 	follower.Merge(start, u, whole, true)
 	assert.DeepEqual(t, ids(follower), []string{"a", "b"})
-	assert.Assert(t, follower.Unconfirmed())
-	assert.Assert(t, follower.Confirm(start))
+	assert.Assert(t, follower.HasUnconfirmedRemovals())
+	assert.Assert(t, follower.ConfirmRemovals(start))
 	assert.DeepEqual(t, ids(follower), []string{"b"})
 }
 
@@ -263,13 +263,13 @@
 // so that one who turns to the store later does not believe it for ever.
 func TestLapsedEntryIsToldWithItsTime(t *testing.T) {
 	u, whole, follower := lapsedElsewhere()
-	follower.Lost()
-	follower.Reached(start)
+	follower.MarkUnreachable()
+	follower.MarkReachable(start)
 	follower.Merge(start, u, whole, true)
 	assert.DeepEqual(t, ids(follower), []string{"a", "b"})
 	assert.Equal(t, follower.Revision(), uint64(9))
 	at, ok := follower.NextExpiry()
-	assert.Assert(t, ok && at.Equal(start.Add(LapseGrace)))
+	assert.Assert(t, ok && at.Equal(start.Add(OutageGrace)))
 	assert.Assert(t, follower.Expire(at))
 	assert.DeepEqual(t, ids(follower), []string{"b"})
 }
@@ -287,12 +287,12 @@
 	source.Replace(start, listing)
 	asking.Replace(start, listing)
 	source.Apply(start, Update{Revision: 502, Upstreams: []Upstream{up("new", 501)}, Removed: []Removal{{ID: "u007", Revision: 502}}})
-	u, whole := source.SinceRevision(start, asking.SureRevision())
+	u, whole := source.SinceRevision(start, asking.CompleteRevision())
 	assert.Assert(t, !whole)
 	assert.Equal(t, len(u.Upstreams), 1)
 	assert.Equal(t, len(u.Removed), 1)
 	asking.Merge(start, u, whole, true)
-	asking.Confirm(start)
+	asking.ConfirmRemovals(start)
 	assert.DeepEqual(t, ids(asking), ids(source))
 
 	_, whole = source.SinceRevision(start, 499)
@@ -307,13 +307,13 @@
 func TestStaleListingIsNotSure(t *testing.T) {
 	source, asking := NewRegistry(), NewRegistry()
 	source.Replace(start, listed(9, up("a", 3), up("b", 8)))
-	asking.ReplaceByGlance(start, listed(9, up("a", 3)))
-	assert.Equal(t, asking.SureRevision(), uint64(0))
-	u, whole := source.SinceRevision(start, asking.SureRevision())
+	asking.ReplaceStale(start, listed(9, up("a", 3)))
+	assert.Equal(t, asking.CompleteRevision(), uint64(0))
+	u, whole := source.SinceRevision(start, asking.CompleteRevision())
 	assert.Assert(t, whole)
 	asking.Merge(start, u, whole, true)
 	assert.DeepEqual(t, ids(asking), []string{"a", "b"})
-	assert.Equal(t, asking.SureRevision(), uint64(9))
+	assert.Equal(t, asking.CompleteRevision(), uint64(9))
 }
 
 // A node that knows all up to a revision and does not know an upstream published before it
@@ -326,7 +326,7 @@
 	assert.DeepEqual(t, ids(r), []string{"a"})
 	r.Merge(start, Update{Revision: 12, Removed: []Removal{{ID: "a", Revision: 12}}}, false, true)
 	r.Merge(start, Update{Revision: 11, Upstreams: []Upstream{up("a", 11)}}, false, true)
-	assert.Assert(t, r.Confirm(start))
+	assert.Assert(t, r.ConfirmRemovals(start))
 	assert.DeepEqual(t, ids(r), []string(nil))
 	r.Merge(start, Update{Revision: 13, Upstreams: []Upstream{up("b", 13)}}, false, true)
 	assert.DeepEqual(t, ids(r), []string{"b"})
--- a/internal/discovery/patch_test.go
+++ b/internal/discovery/patch_test.go
@@ -169,13 +169,13 @@
 // link is a Peers to one node, whose news may be spoiled on the way.
 type link struct {
 	to    *Follower
-	spoil func(*News)
-	asks  []Ask
+	spoil func(*PeerUpdate)
+	asks  []PeerRequest
 }
 
-func (l *link) Ask(ctx context.Context, _ netip.AddrPort, ask Ask) (News, error) {
+func (l *link) Ask(ctx context.Context, _ netip.AddrPort, ask PeerRequest) (PeerUpdate, error) {
 	l.asks = append(l.asks, ask)
-	n, err := l.to.NewsAfter(ctx, ask)
+	n, err := l.to.PeerUpdateAfter(ctx, ask)
 	if l.spoil != nil {
 		l.spoil(&n)
 	}
@@ -217,8 +217,8 @@
 	assert.NilError(t, ask())
 	way.to.take(t, table(2))
 	way.to.take(t, table(3))
-	var got News
-	way.spoil = func(n *News) { got = *n }
+	var got PeerUpdate
+	way.spoil = func(n *PeerUpdate) { got = *n }
 	assert.NilError(t, ask())
 	assert.Equal(t, f.holds(), table(3).ID)
 	assert.Assert(t, len(got.Document) == 0 && len(got.Patch) < 300, "%d bytes", len(got.Patch))
@@ -226,32 +226,32 @@
 	way.to.take(t, table(4))
 	other, err := deflate([]byte("no splices"))
 	assert.NilError(t, err)
-	way.spoil = func(n *News) { n.Patch = other }
+	way.spoil = func(n *PeerUpdate) { n.Patch = other }
 	assert.Assert(t, ask() != nil)
 	assert.Equal(t, f.holds(), table(3).ID)
 	way.spoil = nil
 	assert.NilError(t, ask())
-	assert.Assert(t, !way.asks[len(way.asks)-1].Patches)
+	assert.Assert(t, !way.asks[len(way.asks)-1].AcceptPatch)
 	assert.Equal(t, f.holds(), table(4).ID)
 
 	way.to.take(t, table(5))
 	assert.NilError(t, ask())
-	assert.Assert(t, way.asks[len(way.asks)-1].Patches)
+	assert.Assert(t, way.asks[len(way.asks)-1].AcceptPatch)
 	assert.Equal(t, f.holds(), table(5).ID)
 }
 
 // A node of an earlier build, which does not ask for differences, gets whole tables.
 func TestEarlierBuildGetsWholeTables(t *testing.T) {
 	reader := holding(t, nil, writtenTable(1, routesOf(50, 1500)))
-	ask := Ask{WantTable: true, Table: reader.holds(), After: Cursor{Epoch: 1}}
-	_, err := reader.NewsAfter(t.Context(), ask)
+	ask := PeerRequest{IncludeTable: true, Table: reader.holds(), After: Cursor{Epoch: 1}}
+	_, err := reader.PeerUpdateAfter(t.Context(), ask)
 	assert.NilError(t, err)
 	reader.take(t, writtenTable(2, routesOf(51, 1500)))
-	n, err := reader.NewsAfter(t.Context(), ask)
+	n, err := reader.PeerUpdateAfter(t.Context(), ask)
 	assert.NilError(t, err)
 	assert.Assert(t, len(n.Patch) == 0 && len(n.Document) > 0)
-	ask.Patches = true
-	n, err = reader.NewsAfter(t.Context(), ask)
+	ask.AcceptPatch = true
+	n, err = reader.PeerUpdateAfter(t.Context(), ask)
 	assert.NilError(t, err)
 	assert.Assert(t, len(n.Patch) > 0 && len(n.Document) == 0)
 }
--- a/internal/discovery/registry.go
+++ b/internal/discovery/registry.go
@@ -51,23 +51,23 @@
 // has vanished or, by word not older than its end, is published again.
 func (e entry) replacedBy(up Upstream, revision uint64) bool {
 	switch {
-	case e.Born != 0 && up.Born > e.Born:
+	case e.StartedAtMs != 0 && up.StartedAtMs > e.StartedAtMs:
 		return true
 	case up.Revision != e.Revision:
 		// A version from before the end has ended with it.
 		return up.Revision > max(e.Revision, e.lapsed)
 	case e.lapsed == 0:
-		return up.Lapsed > 0
+		return up.ExpiresIn > 0
 	}
-	return up.Lapsed == 0 && revision >= e.lapsed
+	return up.ExpiresIn == 0 && revision >= e.lapsed
 }
 
 // publicly is what is published of an entry. Its cold time is counted from when it was
 // heard of: that is later than it was told, and so on the safe side.
-func (e entry) publicly() Known {
-	k := Known{Upstream: e.Upstream, Seen: e.seen}
-	if e.Cold > 0 {
-		k.ColdFrom, k.ColdUntil = e.told, e.told.Add(e.Cold)
+func (e entry) publicly() KnownUpstream {
+	k := KnownUpstream{Upstream: e.Upstream, FirstSeen: e.seen}
+	if e.ColdFor > 0 {
+		k.ColdFrom, k.ColdUntil = e.told, e.told.Add(e.ColdFor)
 	}
 	return k
 }
@@ -89,18 +89,18 @@
 // Sequence counts the changes of belief, for Since.
 func (r *Registry) Sequence() uint64 { return r.sequence }
 
-// Lost notes that the store did not answer.
-func (r *Registry) Lost() { r.away = true }
+// MarkUnreachable notes that the store did not answer.
+func (r *Registry) MarkUnreachable() { r.away = true }
 
-// Outage reports whether the store is away, or came back less than LapseGrace ago.
-func (r *Registry) Outage(now time.Time) bool {
-	return r.away || !r.returned.IsZero() && now.Before(r.returned.Add(LapseGrace))
+// InOutage reports whether the store is away, or came back less than LapseGrace ago.
+func (r *Registry) InOutage(now time.Time) bool {
+	return r.away || !r.returned.IsZero() && now.Before(r.returned.Add(OutageGrace))
 }
 
 // Replace takes over a whole listing of the store and reports whether anything
 // changed.
 func (r *Registry) Replace(now time.Time, u Update) bool {
-	r.Reached(now)
+	r.MarkReachable(now)
 	if u.Revision < r.revision {
 		return false // a stale answer
 	}
@@ -116,15 +116,15 @@
 	return changed
 }
 
-// ReplaceByGlance is Replace for a listing that may be stale.
-func (r *Registry) ReplaceByGlance(now time.Time, u Update) bool {
+// ReplaceStale is Replace for a listing that may be stale.
+func (r *Registry) ReplaceStale(now time.Time, u Update) bool {
 	changed := r.Replace(now, u)
 	r.sure = false
 	return changed
 }
 
-// SureRevision is Revision if all up to it is known for certain; 0 otherwise.
-func (r *Registry) SureRevision() uint64 {
+// CompleteRevision is Revision if all up to it is known for certain; 0 otherwise.
+func (r *Registry) CompleteRevision() uint64 {
 	if !r.sure {
 		return 0
 	}
@@ -133,7 +133,7 @@
 
 // Apply takes over changes of the store and reports whether anything changed.
 func (r *Registry) Apply(now time.Time, u Update) bool {
-	r.Reached(now)
+	r.MarkReachable(now)
 	changed := r.take(now, u)
 	changed = r.takeEvacuations(now, u.Evacuations) || changed
 	return r.applyRemoved(now, u.Removed) || changed
@@ -149,16 +149,16 @@
 	return changed
 }
 
-// Reached notes that the store answers. After an outage, what lapsed before it
+// MarkReachable notes that the store answers. After an outage, what lapsed before it
 // is given the same time as what lapsed in it.
-func (r *Registry) Reached(now time.Time) {
+func (r *Registry) MarkReachable(now time.Time) {
 	if !r.away {
 		return
 	}
 	r.away, r.returned = false, now
 	for _, e := range r.known {
 		if e.lapsed != 0 {
-			e.expires = now.Add(LapseGrace)
+			e.expires = now.Add(OutageGrace)
 			r.set(e)
 		}
 	}
@@ -172,20 +172,20 @@
 	for _, up := range u.Upstreams {
 		old, ok := r.known[up.ID]
 		ended := r.gone[up.ID]
-		born := max(old.Born, ended.born)
-		if up.Born == 0 {
-			up.Born = born // the life known last
+		born := max(old.StartedAtMs, ended.born)
+		if up.StartedAtMs == 0 {
+			up.StartedAtMs = born // the life known last
 		}
-		if up.Born < born || ended.revision >= up.Revision || ok && !old.replacedBy(up, u.Revision) {
+		if up.StartedAtMs < born || ended.revision >= up.Revision || ok && !old.replacedBy(up, u.Revision) {
 			continue
 		}
 		r.sequence++
 		e := entry{Upstream: up, seen: now, told: now, sequence: r.sequence}
-		if ok && old.Born == up.Born {
+		if ok && old.StartedAtMs == up.StartedAtMs {
 			e.seen = old.seen
 		}
-		if up.Lapsed > 0 {
-			e.lapsed, e.expires, e.Lapsed = max(u.Revision, 1), now.Add(up.Lapsed), 0
+		if up.ExpiresIn > 0 {
+			e.lapsed, e.expires, e.ExpiresIn = max(u.Revision, 1), now.Add(up.ExpiresIn), 0
 		}
 		r.set(e)
 		delete(r.gone, up.ID)
@@ -195,10 +195,10 @@
 	return changed
 }
 
-// Known is an upstream with the time when this life of it was first heard of.
-type Known struct {
+// KnownUpstream is an upstream with the time when this life of it was first heard of.
+type KnownUpstream struct {
 	Upstream
-	Seen time.Time
+	FirstSeen time.Time
 	// ColdFrom and ColdUntil are the times between which it is cold, as far as that is
 	// published; both zero if it is not.
 	ColdFrom, ColdUntil time.Time
@@ -259,44 +259,44 @@
 }
 
 // at returns the entry of UpstreamsOf at an address; false if there is none.
-func (r *Registry) at(services map[string]bool, address netip.AddrPort) (Known, bool) {
+func (r *Registry) at(services map[string]bool, address netip.AddrPort) (KnownUpstream, bool) {
 	for _, id := range r.ids[address] {
 		if k, ok := r.upstreamOf(services, id); ok {
 			return k, true
 		}
 	}
-	return Known{}, false
+	return KnownUpstream{}, false
 }
 
 // Upstreams returns the believed upstreams, sorted by ID. Of two at one address
 // only the one published later is among them: an address serves one process at a
 // time, and the entry of one that ended without a word stays for some seconds.
-func (r *Registry) Upstreams() []Known { return r.UpstreamsOf(nil) }
+func (r *Registry) Upstreams() []KnownUpstream { return r.UpstreamsOf(nil) }
 
 // UpstreamsOf is Upstreams with the services that the table names; nil for any. An
 // entry of another service takes no address from one of these, as whoever wrote it
 // may not be there.
-func (r *Registry) UpstreamsOf(services map[string]bool) []Known {
-	out := make([]Known, 0, len(r.known))
+func (r *Registry) UpstreamsOf(services map[string]bool) []KnownUpstream {
+	out := make([]KnownUpstream, 0, len(r.known))
 	for id := range r.known {
 		if k, ok := r.upstreamOf(services, id); ok {
 			out = append(out, k)
 		}
 	}
-	slices.SortFunc(out, func(a, b Known) int { return cmp.Compare(a.ID, b.ID) })
+	slices.SortFunc(out, func(a, b KnownUpstream) int { return cmp.Compare(a.ID, b.ID) })
 	return out
 }
 
 // upstreamOf returns one of UpstreamsOf; false if it is not among them.
-func (r *Registry) upstreamOf(services map[string]bool, id string) (Known, bool) {
+func (r *Registry) upstreamOf(services map[string]bool, id string) (KnownUpstream, bool) {
 	e, ok := r.known[id]
 	if !ok {
-		return Known{}, false
+		return KnownUpstream{}, false
 	}
 	if e.Address.IsValid() {
 		for _, other := range r.ids[e.Address] {
 			if other != id && r.known[other].displaces(e, services) {
-				return Known{}, false
+				return KnownUpstream{}, false
 			}
 		}
 	}
--- a/internal/discovery/registry_test.go
+++ b/internal/discovery/registry_test.go
@@ -43,15 +43,15 @@
 func TestLapsedEntriesAreGivenTime(t *testing.T) {
 	r := NewRegistry()
 	r.Replace(start, listed(3, up("a", 1), up("b", 2), up("c", 3)))
-	r.Lost()
+	r.MarkUnreachable()
 	back := start.Add(time.Minute)
 	r.Replace(back, listed(9, up("c", 3)))
 	assert.DeepEqual(t, ids(r), []string{"a", "b", "c"})
 	at, ok := r.NextExpiry()
-	assert.Assert(t, ok && at.Equal(back.Add(LapseGrace)))
+	assert.Assert(t, ok && at.Equal(back.Add(OutageGrace)))
 	r.Apply(back.Add(time.Second), listed(10, up("a", 10)))
-	assert.Assert(t, !r.Expire(back.Add(LapseGrace-time.Millisecond)))
-	assert.Assert(t, r.Expire(back.Add(LapseGrace)))
+	assert.Assert(t, !r.Expire(back.Add(OutageGrace-time.Millisecond)))
+	assert.Assert(t, r.Expire(back.Add(OutageGrace)))
 	assert.DeepEqual(t, ids(r), []string{"a", "c"})
 }
 
@@ -61,7 +61,7 @@
 	leaving := up("a", 1)
 	leaving.Leaving = true
 	r.Replace(start, listed(1, leaving))
-	r.Lost()
+	r.MarkUnreachable()
 	r.Replace(start.Add(time.Minute), listed(2))
 	assert.Equal(t, len(ids(r)), 0)
 }
@@ -70,15 +70,15 @@
 func TestSecondOutageStartsGraceAnew(t *testing.T) {
 	r := NewRegistry()
 	r.Replace(start, listed(1, up("a", 1)))
-	r.Lost()
+	r.MarkUnreachable()
 	r.Replace(start.Add(time.Second), listed(2))
-	r.Lost()
+	r.MarkUnreachable()
 	assert.Assert(t, !r.Expire(start.Add(time.Hour)), "nothing expires while the store is away")
 	back := start.Add(time.Hour)
 	r.Replace(back, listed(3))
 	assert.Assert(t, !r.Expire(back))
 	assert.DeepEqual(t, ids(r), []string{"a"})
-	assert.Assert(t, r.Expire(back.Add(LapseGrace)))
+	assert.Assert(t, r.Expire(back.Add(OutageGrace)))
 	assert.Equal(t, len(ids(r)), 0)
 }
 
@@ -148,7 +148,7 @@
 				write(Update{Removed: []Removal{{ID: id, Revision: revision}}})
 			},
 			"follow": func(*rapid.T) { follow() },
-			"outage": func(*rapid.T) { r.Lost() },
+			"outage": func(*rapid.T) { r.MarkUnreachable() },
 			"list": func(*rapid.T) {
 				var u Update
 				for id, rev := range present {
@@ -166,7 +166,7 @@
 			"settle": func(t *rapid.T) {
 				follow()
 				r.Apply(now, Update{Revision: revision})
-				now = now.Add(LapseGrace)
+				now = now.Add(OutageGrace)
 				r.Apply(now, Update{Revision: revision})
 				r.Expire(now)
 				held := make(map[string]uint64)
--- a/internal/discovery/report_test.go
+++ b/internal/discovery/report_test.go
@@ -26,7 +26,7 @@
 		time.Sleep(time.Second)
 		s.set(func(s *fakeSource) { s.fail = errors.New("down") })
 		time.Sleep(cfg.ChangeBound + 2*staleCheck)
-		assert.Assert(t, f.Age(time.Now()) > cfg.ChangeBound)
+		assert.Assert(t, f.Staleness(time.Now()) > cfg.ChangeBound)
 		leaving := published("a", 2)
 		leaving.Leaving = true
 		s.set(func(s *fakeSource) { s.fail, s.state = nil, Update{Revision: 2, Upstreams: []Upstream{leaving}} })
--- a/internal/discovery/schedule.go
+++ b/internal/discovery/schedule.go
@@ -83,7 +83,7 @@
 // patience is how long after its time an answer is waited for before another call
 // is made. It doubles with each failure: a store that is away is not flooded.
 func (s *schedule) patience(slowest time.Duration) time.Duration {
-	return doubled(s.cfg.CallOverdue, s.failures, max(s.cfg.CallOverdue, slowest))
+	return doubled(s.cfg.HedgeDelay, s.failures, max(s.cfg.HedgeDelay, slowest))
 }
 
 // timeout is the time after its start at which a call is given up.
--- a/internal/discovery/schedule_test.go
+++ b/internal/discovery/schedule_test.go
@@ -12,9 +12,9 @@
 func TestDefaultsKeepTheBound(t *testing.T) {
 	for _, bound := range []time.Duration{1500 * time.Millisecond, 2 * time.Second, 2500 * time.Millisecond, 10 * time.Second} {
 		c := ConfigFor(bound)
-		assert.Assert(t, c.Bounded(), "bound %v, worst age %v", bound, c.WorstAge(1))
-		assert.Assert(t, c.WatchWait+c.CallOverdue < c.NewsMaxAge, "a quiet watch of a reader keeps its followers from the store")
-		assert.Assert(t, c.NewsMaxAge <= defaults().NewsMaxAge)
+		assert.Assert(t, c.WithinChangeBound(), "bound %v, worst age %v", bound, c.MaxStaleness(1))
+		assert.Assert(t, c.WatchWait+c.HedgeDelay < c.PeerMaxStaleness, "a quiet watch of a reader keeps its followers from the store")
+		assert.Assert(t, c.PeerMaxStaleness <= defaults().PeerMaxStaleness)
 	}
 }
 
--- a/internal/discovery/stall_test.go
+++ b/internal/discovery/stall_test.go
@@ -64,7 +64,7 @@
 	s.mu.Unlock()
 	switch number {
 	case 1:
-		time.Sleep(wait + DefaultConfig().CallOverdue + 10*time.Millisecond)
+		time.Sleep(wait + DefaultConfig().HedgeDelay + 10*time.Millisecond)
 	case 2:
 		time.Sleep(s.second)
 	default:
--- a/internal/discovery/suspended_test.go
+++ b/internal/discovery/suspended_test.go
@@ -20,11 +20,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		f, _ := follow(t, &fakeSource{state: Update{Revision: 1, Document: testDocument(1)}})
 		time.Sleep(200 * time.Millisecond)
-		before, err := f.NewsAfter(t.Context(), Ask{})
+		before, err := f.PeerUpdateAfter(t.Context(), PeerRequest{})
 		assert.NilError(t, err)
 		clock.Advance(suspension)
 		defer clock.Advance(-suspension)
-		after, err := f.NewsAfter(t.Context(), Ask{})
+		after, err := f.PeerUpdateAfter(t.Context(), PeerRequest{})
 		assert.NilError(t, err)
 		assert.Assert(t, before.Age < time.Second, "%v", before.Age)
 		assert.Assert(t, after.Age >= suspension, "news are told to be %v old", after.Age)
--- a/internal/discovery/take_store.go
+++ b/internal/discovery/take_store.go
@@ -28,13 +28,13 @@
 		if !a.call.glance {
 			changed = f.registry.Replace(now, u)
 		} else {
-			changed = f.registry.ReplaceByGlance(now, u)
+			changed = f.registry.ReplaceStale(now, u)
 			f.glanced, f.firstNews = true, now.Add(firstNewsWait)
 		}
 	case callWatch:
 		changed = f.registry.Apply(now, u)
 	}
-	changed = f.registry.Confirm(now) || changed
+	changed = f.registry.ConfirmRemovals(now) || changed
 	changed = f.registry.Expire(now) || changed
 	changed = f.takeDocument(u.Document, SourceStore) || changed
 	if changed {
@@ -90,7 +90,7 @@
 func (f *Follower) hold(d *Document) {
 	f.document, f.services, f.deflated, f.patches = d, servicesOf(d.Table), nil, nil
 	f.limits.Store(&d.Limits)
-	f.starts.Store(&d.Starts)
+	f.starts.Store(&d.ColdStarts)
 }
 
 // refuse goes back from a table of which no snapshot can be built to the one before,
@@ -146,7 +146,7 @@
 // that ended were believed for LapseGrace more, and requests reached an upstream
 // 2.66 s after it was gone. The lock is held.
 func (f *Follower) noteOutage(until, now time.Time) {
-	if !f.awaySince.IsZero() && until.Sub(f.awaySince) >= shortestLease && now.Sub(f.current) > f.cfg.NewsMaxAge {
-		f.registry.Lost()
+	if !f.awaySince.IsZero() && until.Sub(f.awaySince) >= shortestLease && now.Sub(f.current) > f.cfg.PeerMaxStaleness {
+		f.registry.MarkUnreachable()
 	}
 }
--- a/internal/discovery/tell.go
+++ b/internal/discovery/tell.go
@@ -8,18 +8,18 @@
 	"github.com/walldrift/walldrift/internal/clock"
 )
 
-// NewsAfter returns what is believed here and not known to the asking node, as
+// PeerUpdateAfter returns what is believed here and not known to the asking node, as
 // soon as there is anything, or this node learns that there is not. After
 // Config.NewsWait it returns what there is.
-func (f *Follower) NewsAfter(ctx context.Context, ask Ask) (News, error) {
+func (f *Follower) PeerUpdateAfter(ctx context.Context, ask PeerRequest) (PeerUpdate, error) {
 	began := clock.Now()
-	timer := time.NewTimer(f.cfg.NewsWait)
+	timer := time.NewTimer(f.cfg.PeerHoldTime)
 	defer timer.Stop()
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.hearLinks(slices.Concat(ask.Links, []NodeLink{ask.Link})...)
-	if ask.OnlyLinks {
-		return News{Age: unknownAge, Links: f.links.told, LinksHash: f.links.hash}, nil
+	if ask.LinksOnly {
+		return PeerUpdate{Age: unknownAge, Links: f.links.told, LinksHash: f.links.hash}, nil
 	}
 	f.asked = began
 	known := began.Add(-ask.Age)
@@ -34,12 +34,12 @@
 		}
 		f.mu.Lock()
 		if err := ctx.Err(); err != nil {
-			return News{}, err
+			return PeerUpdate{}, err
 		}
 	}
 	now := clock.Now()
 	n, err := f.news(now, ask)
-	n.Held = now.Sub(began)
+	n.HoldTime = now.Sub(began)
 	return n, err
 }
 
@@ -57,25 +57,25 @@
 }
 
 // hasNews reports whether the asking node lacks something. The lock is held.
-func (f *Follower) hasNews(ask Ask) bool {
+func (f *Follower) hasNews(ask PeerRequest) bool {
 	return ask.After.Epoch != f.epoch || ask.After.Sequence < f.registry.Sequence() || f.holdsLocked().Newer(ask.Table)
 }
 
 // news builds the news for a question. The lock is held.
-func (f *Follower) news(now time.Time, ask Ask) (News, error) {
+func (f *Follower) news(now time.Time, ask PeerRequest) (PeerUpdate, error) {
 	u, whole := f.changesSince(now, ask)
-	n := News{
+	n := PeerUpdate{
 		Cursor:    Cursor{Epoch: f.epoch, Sequence: f.registry.Sequence()},
 		Revision:  u.Revision,
 		Age:       now.Sub(f.current),
 		Table:     f.holdsLocked(),
-		Whole:     whole,
+		Full:      whole,
 		Upstreams: u.Upstreams,
 		Removed:   u.Removed,
-		Outage:    f.registry.Outage(now),
+		Outage:    f.registry.InOutage(now),
 
-		Evacuations: u.Evacuations,
-		Orders:      u.Orders,
+		Evacuations:    u.Evacuations,
+		HasEvacuations: u.HasEvacuations,
 	}
 	n.LinksHash = f.links.hash
 	if ask.LinksHash != n.LinksHash {
@@ -84,13 +84,13 @@
 	if f.current.IsZero() {
 		n.Age = unknownAge
 	}
-	if !ask.WantTable || !n.Table.Newer(ask.Table) {
+	if !ask.IncludeTable || !n.Table.Newer(ask.Table) {
 		return n, nil
 	}
-	if ask.Patches {
+	if ask.AcceptPatch {
 		patch, err := f.patch(ask.Table)
 		if err != nil {
-			return News{}, err
+			return PeerUpdate{}, err
 		}
 		if patch != nil {
 			n.Patch, n.Base = patch, ask.Table
@@ -100,7 +100,7 @@
 	if f.deflated == nil {
 		var err error
 		if f.deflated, err = deflate(f.document.Raw); err != nil {
-			return News{}, err
+			return PeerUpdate{}, err
 		}
 	}
 	n.Document = f.deflated
@@ -110,7 +110,7 @@
 // changesSince returns what the asking node lacks: by its cursor or, where that is of
 // another node or run, by the revision that it knows: many nodes start or change their
 // sources together, and all that is believed grows with the fleet. The lock is held.
-func (f *Follower) changesSince(now time.Time, ask Ask) (u Update, whole bool) {
+func (f *Follower) changesSince(now time.Time, ask PeerRequest) (u Update, whole bool) {
 	if ask.After.Epoch == f.epoch && ask.After.Sequence > 0 {
 		return f.registry.Since(now, ask.After.Sequence)
 	}
--- a/internal/discovery/views.go
+++ b/internal/discovery/views.go
@@ -24,7 +24,7 @@
 	// What they were built for.
 	document    *Document
 	services    map[string]bool
-	starts      map[string]StartTerms
+	starts      map[string]ColdStart
 	evacuations uint64 // Registry.evacuationChanges
 	size        int    // number of upstreams
 }
@@ -40,7 +40,7 @@
 	switch {
 	case v.roster == nil, v.evacuations != f.registry.evacuationChanges, !maps.Equal(v.services, f.services):
 		return true
-	case f.document != nil && !maps.Equal(v.starts, f.document.Starts):
+	case f.document != nil && !maps.Equal(v.starts, f.document.ColdStarts):
 		return true
 	}
 	return max(size, v.size)-min(size, v.size) > v.size/resizeShare
@@ -83,7 +83,7 @@
 		f.views.groups[name] = snapshot.NewService(table.Service{Name: name})
 	}
 	if f.document != nil {
-		f.views.starts = f.document.Starts
+		f.views.starts = f.document.ColdStarts
 	}
 }
 
@@ -141,7 +141,7 @@
 		f.links.forget(id)
 	}
 	for id, m := range c.set {
-		m.Link = f.links.rates[id]
+		m.LinkMbps = f.links.rates[id]
 		changed = f.views.roster.Set(m) || f.follows(m) || changed
 	}
 	own := f.ownLink()
@@ -168,7 +168,7 @@
 		if !ok || !f.links.hear(h) {
 			continue
 		}
-		m.Link = h.Mbps
+		m.LinkMbps = h.Mbps
 		changed = f.views.roster.Set(m) || changed
 	}
 	return changed
@@ -186,7 +186,7 @@
 	f.links.tell(roster.ReaderCandidates())
 	reader := slices.Contains(roster.StoreReaders(), self.Name)
 	f.sources = nil
-	for _, name := range roster.NewsSources(self) {
+	for _, name := range roster.UpdateSources(self) {
 		m, _ := dir.members.Get(name)
 		f.sources = append(f.sources, m.Instance)
 	}
--- a/internal/discovery/way_test.go
+++ b/internal/discovery/way_test.go
@@ -17,9 +17,9 @@
 // slowPeers answer after a way, with news of an age that were held for a while.
 type slowPeers struct{ way, held, age time.Duration }
 
-func (p slowPeers) Ask(context.Context, netip.AddrPort, Ask) (News, error) {
+func (p slowPeers) Ask(context.Context, netip.AddrPort, PeerRequest) (PeerUpdate, error) {
 	time.Sleep(p.held + p.way)
-	return News{Held: p.held, Age: p.age}, nil
+	return PeerUpdate{HoldTime: p.held, Age: p.age}, nil
 }
 
 // The way of an answer is no knowledge: the news are as old as they were when they
--- a/internal/discovery/working.go
+++ b/internal/discovery/working.go
@@ -10,17 +10,17 @@
 // pausesKey marks the function of a context that pauses work.
 type pausesKey struct{}
 
-// WithPauses returns a context for calls of a Source in which its work is paused by
+// WithPacing returns a context for calls of a Source in which its work is paused by
 // sleep, so that the rest of the process runs: a table of 3,300 routes took a node
 // with 0.16 of a core for 0.9 s, in which no request and no caller's close was read.
-func WithPauses(ctx context.Context, sleep func(time.Duration)) context.Context {
+func WithPacing(ctx context.Context, sleep func(time.Duration)) context.Context {
 	return context.WithValue(ctx, pausesKey{}, sleep)
 }
 
-// Working tells that a Source begins to work in a call with this context. done is to
+// StartPacing tells that a Source begins to work in a call with this context. done is to
 // be called after each unit of the work, some milliseconds at the most; it returns
 // when the work may go on.
-func Working(ctx context.Context) (done func()) {
+func StartPacing(ctx context.Context) (done func()) {
 	sleep, ok := ctx.Value(pausesKey{}).(func(time.Duration))
 	if !ok {
 		return func() {}
--- a/internal/discovery/working_test.go
+++ b/internal/discovery/working_test.go
@@ -30,7 +30,7 @@
 		paused := make(map[bool][]time.Duration)
 		setAll(f.sorted(), func(n *testNode) {
 			n.work = func(ctx context.Context, decoding bool) {
-				done := Working(ctx)
+				done := StartPacing(ctx)
 				for range 2 {
 					time.Sleep(unit)
 					began := time.Now()
@@ -78,11 +78,11 @@
 		time.Sleep(drainBound)
 		began := time.Now()
 		m, _ := node.follower.Member(f.idOf(leaves))
-		assert.Equal(t, m.Status, membership.Departing)
+		assert.Equal(t, m.Status, membership.Leaving)
 		node.follower.Limits()
-		node.follower.Age(began)
+		node.follower.Staleness(began)
 		node.follower.Status(began)
-		_, err := node.follower.NewsAfter(t.Context(), Ask{Age: unknownAge})
+		_, err := node.follower.PeerUpdateAfter(t.Context(), PeerRequest{Age: unknownAge})
 		assert.NilError(t, err)
 		assert.Equal(t, time.Since(began), time.Duration(0))
 		time.Sleep(time.Minute)
--- a/internal/distribution/bench_test.go
+++ b/internal/distribution/bench_test.go
@@ -47,7 +47,7 @@
 			members := e.View.Members(now)
 			b.ReportMetric(float64(heap()-before), "heap-B")
 			b.ReportMetric(float64(len(list)), "list-B")
-			own := e.View.Own()
+			own := e.View.SelfRumor()
 			wire, err := distribution.Encode(&distribution.Message{Rumors: []membership.Rumor{own}})
 			assert.NilError(b, err)
 			b.ReportMetric(float64(len(wire)), "join-B")
--- a/internal/distribution/census.go
+++ b/internal/distribution/census.go
@@ -36,7 +36,7 @@
 
 // start begins or joins a query. It returns the neighbours to ask, nil and
 // false if the query is a duplicate or one too many.
-func (c *census) start(now time.Time, q Query, parent string, neighbours []string, own NodeStatus) (*survey, bool) {
+func (c *census) start(now time.Time, q StatusQuery, parent string, neighbours []string, own NodeStatus) (*survey, bool) {
 	if _, twice := c.seen[q.ID]; twice || len(c.active) >= maxSurveys {
 		return nil, false
 	}
@@ -44,7 +44,7 @@
 	s := &survey{
 		id:       q.ID,
 		parent:   parent,
-		deadline: now.Add(min(time.Duration(q.Patience)*time.Millisecond, censusPatience)),
+		deadline: now.Add(min(time.Duration(q.TimeoutMs)*time.Millisecond, censusPatience)),
 		waiting:  make(map[string]bool),
 		nodes:    map[string]NodeStatus{own.Name: own},
 	}
@@ -58,7 +58,7 @@
 }
 
 // answer takes in a reply.
-func (c *census) answer(from string, r Reply) {
+func (c *census) answer(from string, r StatusReply) {
 	s, ok := c.active[r.ID]
 	if !ok || !s.waiting[from] {
 		return
--- a/internal/distribution/engine.go
+++ b/internal/distribution/engine.go
@@ -38,8 +38,8 @@
 	}
 }
 
-// Survey is the result of a status query asked at this node.
-type Survey struct {
+// StatusResult is the result of a status query asked at this node.
+type StatusResult struct {
 	ID    uint64
 	Nodes []NodeStatus // sorted by name
 }
@@ -61,11 +61,11 @@
 	rank    int // place among the possible readers of the data centre
 	pending []pendingRumor
 	told    map[string]bool // neighbours whose digest has come since the link or a pause
-	offered [docCount]Offer
+	offered [docCount]SourceRead
 }
 
-// Offer is the last document read from the platform by this node.
-type Offer struct {
+// SourceRead is the last document read from the platform by this node.
+type SourceRead struct {
 	ID  version.ID
 	Err error // why it was refused, nil if it was not
 }
@@ -104,10 +104,10 @@
 func (e *Engine) Refused(d Doc) *Refusal { return e.docs[d].lastRefusal() }
 
 // LinkUp greets a new neighbour with a digest and what it may not know.
-func (e *Engine) LinkUp(now time.Time, peer string) Effects {
-	var fx Effects
+func (e *Engine) LinkUp(now time.Time, peer string) Actions {
+	var fx Actions
 	e.links[peer] = true
-	rumors := append([]membership.Rumor{e.View.Own()}, e.View.Doubts()...)
+	rumors := append([]membership.Rumor{e.View.SelfRumor()}, e.View.NonAliveRumors()...)
 	fx.send(peer, CauseDigest, &Message{Digest: e.digest(now)})
 	fx.send(peer, CauseMembership, &Message{Rumors: rumors})
 	return fx
@@ -115,8 +115,8 @@
 
 // LinkDown forgets a neighbour. doubt says that it did not answer, and that
 // this node is the one to say so.
-func (e *Engine) LinkDown(now time.Time, peer string, doubt bool) Effects {
-	var fx Effects
+func (e *Engine) LinkDown(now time.Time, peer string, doubt bool) Actions {
+	var fx Actions
 	delete(e.links, peer)
 	delete(e.told, peer)
 	for _, r := range e.docs {
@@ -124,7 +124,7 @@
 	}
 	e.census.lost(peer)
 	if doubt {
-		if r, news := e.View.Doubt(peer, now); news {
+		if r, news := e.View.Suspect(peer, now); news {
 			e.spread(&fx, "", r)
 		}
 	}
@@ -133,11 +133,11 @@
 }
 
 // Publish takes a document read from the platform.
-func (e *Engine) Publish(now time.Time, d Doc, raw []byte) Effects {
-	var fx Effects
+func (e *Engine) Publish(now time.Time, d Doc, raw []byte) Actions {
+	var fx Actions
 	e.source = now
 	id, advanced, err := e.docs[d].offer(now, SourcePlatform, raw)
-	e.offered[d] = Offer{ID: id, Err: err}
+	e.offered[d] = SourceRead{ID: id, Err: err}
 	fx.fail(err)
 	if advanced {
 		e.advanced(&fx, now, d, "")
@@ -145,17 +145,17 @@
 	return fx
 }
 
-// SourceAnswered notes that the platform answered without news.
-func (e *Engine) SourceAnswered(now time.Time) { e.source = now }
+// SourceUnchanged notes that the platform answered without news.
+func (e *Engine) SourceUnchanged(now time.Time) { e.source = now }
 
 // advanced pushes a new version to the neighbours that lack it.
-func (e *Engine) advanced(fx *Effects, now time.Time, d Doc, from string) {
+func (e *Engine) advanced(fx *Actions, now time.Time, d Doc, from string) {
 	fx.Advanced = append(fx.Advanced, d)
 	if d == DocList {
 		e.View.SetList(e.list, now)
 		// Before the next read is decided on, or every node that just learned
 		// the list would take itself for a reader.
-		e.Rank(e.View.Members(now))
+		e.UpdateReaderRank(e.View.Members(now))
 		fx.MembersChanged = true
 	}
 	for _, peer := range e.neighbours() {
@@ -173,33 +173,33 @@
 }
 
 // Tick is called a few times a second; it ends overdue queries.
-func (e *Engine) Tick(now time.Time) Effects {
-	var fx Effects
+func (e *Engine) Tick(now time.Time) Actions {
+	var fx Actions
 	e.finishSurveys(&fx, now)
 	return fx
 }
 
 // DigestTo returns the digest due on one link.
-func (e *Engine) DigestTo(now time.Time, peer string) Effects {
-	var fx Effects
+func (e *Engine) DigestTo(now time.Time, peer string) Actions {
+	var fx Actions
 	fx.send(peer, CauseDigest, &Message{Digest: e.digest(now)})
 	return fx
 }
 
-// Leave announces that this instance leaves, or that it does not any more.
-func (e *Engine) Leave(leaving bool) Effects {
-	var fx Effects
-	e.spread(&fx, "", e.View.Leave(leaving))
+// SetLeaving announces that this instance leaves, or that it does not any more.
+func (e *Engine) SetLeaving(leaving bool) Actions {
+	var fx Actions
+	e.spread(&fx, "", e.View.SetLeaving(leaving))
 	return fx
 }
 
-// Awake asks all neighbours what they hold, after this process was paused.
-func (e *Engine) Awake(now time.Time) Effects {
-	var fx Effects
+// RequestDigests asks all neighbours what they hold, after this process was paused.
+func (e *Engine) RequestDigests(now time.Time) Actions {
+	var fx Actions
 	clear(e.told)
 	for _, peer := range e.neighbours() {
 		d := e.digest(now)
-		d.Ask = true
+		d.RequestDigest = true
 		fx.send(peer, CauseDigest, &Message{Digest: d})
 	}
 	return fx
--- a/internal/distribution/engine_test.go
+++ b/internal/distribution/engine_test.go
@@ -65,7 +65,7 @@
 
 func (s *sim) start(name string) {
 	n := &simNode{}
-	self := membership.Instance{Name: name, DataCentre: "dc", Region: "r", State: membership.Live, Generation: uint64(s.now.UnixMilli())}
+	self := membership.Instance{Name: name, DataCentre: "dc", Region: "r", State: membership.ListedLive, Generation: uint64(s.now.UnixMilli())}
 	n.Engine = NewEngine(DefaultEngineConfig(), self, func(raw []byte) (Checked, error) {
 		id, err := checkDocument(raw)
 		return Checked{ID: id, Commit: func() { n.held = id }}, err
@@ -106,11 +106,11 @@
 }
 
 // carry queues the messages of effects, through the codec.
-func (s *sim) carry(from string, fx Effects) {
+func (s *sim) carry(from string, fx Actions) {
 	if fx.Flush {
-		fx.Sends = append(fx.Sends, s.nodes[from].Flush().Sends...)
+		fx.Messages = append(fx.Messages, s.nodes[from].Flush().Messages...)
 	}
-	for _, send := range fx.Sends {
+	for _, send := range fx.Messages {
 		if !s.up[ordered(from, send.To)] {
 			continue
 		}
@@ -218,7 +218,7 @@
 				faults++
 				s.now = s.now.Add(time.Duration(rapid.IntRange(1, 10000).Draw(t, "ms")) * time.Millisecond)
 				n := name.Draw(t, "node")
-				s.carry(n, s.nodes[n].Awake(s.now))
+				s.carry(n, s.nodes[n].RequestDigests(s.now))
 			},
 			"": func(t *rapid.T) {
 				moves++
@@ -279,7 +279,7 @@
 	s.nodes[a].Publish(s.now, DocTable, document(2, "r\nX\nr\nr")) // its pushes are lost
 	third := document(3, "r\nr\nr\nY")
 	fx := s.nodes[b].Publish(s.now, DocTable, third)
-	for _, send := range fx.Sends {
+	for _, send := range fx.Messages {
 		if send.To != a {
 			continue
 		}
@@ -318,7 +318,7 @@
 	s := newSim(6)
 	s.link(s.names[0], s.names[3]) // a second way
 	s.settle()
-	s.carry(s.names[0], s.nodes[s.names[0]].Ask(s.now, 42))
+	s.carry(s.names[0], s.nodes[s.names[0]].StartStatusQuery(s.now, 42))
 	var got []NodeStatus
 	for range 100 {
 		for _, key := range sortedPairs(s.queues) {
@@ -328,7 +328,7 @@
 			}
 			s.queues[key] = q[1:]
 			fx := s.nodes[key[1]].Receive(s.now, key[0], q[0])
-			for _, sv := range fx.Surveys {
+			for _, sv := range fx.StatusResults {
 				got = sv.Nodes
 			}
 			s.carry(key[1], fx)
@@ -346,23 +346,23 @@
 	for i := range 500 {
 		in := membership.Instance{Name: fmt.Sprintf("new%d", i), DataCentre: "dc", Region: "r", Generation: 1}
 		fx := n.Receive(s.now, s.names[1], &Message{Rumors: []membership.Rumor{{Name: in.Name, Incarnation: 1, Instance: &in}}})
-		assert.Equal(t, len(fx.Sends), 0)
+		assert.Equal(t, len(fx.Messages), 0)
 		if fx.Flush {
 			flushes++
 		}
 	}
 	assert.Equal(t, flushes, 1)
 	fx := n.Flush()
-	assert.Equal(t, len(fx.Sends), 1, "not back to where they came from")
-	assert.Equal(t, len(fx.Sends[0].Msg.Rumors), 500)
-	assert.Equal(t, len(n.Flush().Sends), 0)
+	assert.Equal(t, len(fx.Messages), 1, "not back to where they came from")
+	assert.Equal(t, len(fx.Messages[0].Msg.Rumors), 500)
+	assert.Equal(t, len(n.Flush().Messages), 0)
 }
 
 func TestTakeoverOfReading(t *testing.T) {
 	s := newSim(1)
 	n := s.nodes[s.names[0]]
 	n.rank = 5
-	n.SourceAnswered(s.now)
+	n.SourceUnchanged(s.now)
 	assert.Assert(t, !n.ShouldRead(s.now))
 	assert.Assert(t, !n.ShouldRead(s.now.Add(n.cfg.TakeoverAge)))
 	assert.Assert(t, n.ShouldRead(s.now.Add(n.cfg.TakeoverAge+4*n.cfg.TakeoverStep)))
--- a/internal/distribution/links.go
+++ b/internal/distribution/links.go
@@ -25,14 +25,14 @@
 // activeLink is a link with its writer.
 type activeLink struct {
 	Link
-	queue      chan Send
+	queue      chan OutboundMessage
 	nextDigest time.Time
 	surplus    time.Time // since when no slot wants this link; zero if one does
 }
 
 // slotState is one slot of the overlay with its dialling.
 type slotState struct {
-	slot    membership.Slot
+	slot    membership.DesiredLink
 	dialing bool
 	next    time.Time
 	backoff platform.Backoff
@@ -48,7 +48,7 @@
 	slots        map[string]*slotState // by the slot's first candidate
 	overlayStale bool
 	computed     time.Time
-	retired      Wire // bytes of links that have ended
+	retired      WireTraffic // bytes of links that have ended
 }
 
 func newLinkSet(s *Service) *linkSet {
@@ -57,7 +57,7 @@
 
 // send queues a message; a link whose queue is full is closed, and healed by
 // the digest of the next one.
-func (ls *linkSet) send(m Send) {
+func (ls *linkSet) send(m OutboundMessage) {
 	l, ok := ls.active[m.To]
 	if !ok {
 		return
@@ -98,7 +98,7 @@
 func (ls *linkSet) recompute(now time.Time) {
 	ls.overlayStale, ls.computed = false, now
 	members := ls.s.engine.View.Members(now)
-	ls.s.engine.Rank(members)
+	ls.s.engine.UpdateReaderRank(members)
 	wanted := membership.Overlay(ls.s.cfg.Self, members)
 	next := make(map[string]*slotState, len(wanted))
 	for _, slot := range wanted {
@@ -120,7 +120,7 @@
 	return len(ls.slots) == 0 && len(ls.active) == 0 && ls.s.engine.View.Len() == 1 && !ls.s.engine.Held(DocList).IsZero()
 }
 
-func (ls *linkSet) satisfied(slot membership.Slot) bool {
+func (ls *linkSet) satisfied(slot membership.DesiredLink) bool {
 	return slices.ContainsFunc(slot.Candidates, func(name string) bool { return ls.active[name] != nil })
 }
 
@@ -157,12 +157,12 @@
 		return
 	}
 	st.dialing = true
-	ls.dial(name, addr, func(now time.Time, err error) Effects {
+	ls.dial(name, addr, func(now time.Time, err error) Actions {
 		st.dialing = false
 		if err == nil {
 			st.fails = 0
 			st.backoff.Reset()
-			return Effects{}
+			return Actions{}
 		}
 		ls.s.metrics.Counter("dial_failures").Inc(1)
 		st.next = now.Add(st.backoff.Next(ls.s.rnd))
@@ -171,7 +171,7 @@
 		if st.slot.Local && st.fails >= failuresDoubt {
 			return ls.s.engine.LinkDown(now, name, true)
 		}
-		return Effects{}
+		return Actions{}
 	})
 }
 
@@ -188,19 +188,19 @@
 func (ls *linkSet) dialSeeds() {
 	for _, seed := range ls.s.cfg.Seeds {
 		if seed.Name != ls.s.cfg.Self.Name {
-			ls.dial(seed.Name, seed.Addr, func(time.Time, error) Effects { return Effects{} })
+			ls.dial(seed.Name, seed.Addr, func(time.Time, error) Actions { return Actions{} })
 		}
 	}
 }
 
 // dial opens a link in the background and reports in the loop.
-func (ls *linkSet) dial(name string, addr netip.AddrPort, done func(time.Time, error) Effects) {
+func (ls *linkSet) dial(name string, addr netip.AddrPort, done func(time.Time, error) Actions) {
 	s := ls.s
 	s.group.Go(func() {
 		ctx, cancel := context.WithTimeout(s.ctx, dialTimeout)
 		defer cancel()
 		l, err := s.transport.Dial(ctx, name, addr)
-		s.post(func(now time.Time) Effects {
+		s.post(func(now time.Time) Actions {
 			if err == nil {
 				ls.add(now, l)
 			}
@@ -226,7 +226,7 @@
 		l.Close("no room")
 		return
 	}
-	al := &activeLink{Link: l, queue: make(chan Send, sendQueueLen)}
+	al := &activeLink{Link: l, queue: make(chan OutboundMessage, sendQueueLen)}
 	al.nextDigest = now.Add(ls.jittered(ls.s.cfg.Engine.DigestInterval))
 	ls.active[peer] = al
 	ls.s.group.Go(func() { ls.write(al) })
@@ -280,16 +280,16 @@
 	for {
 		b, err := l.Receive()
 		if err != nil {
-			ls.s.post(func(now time.Time) Effects {
-				ls.remove(now, l, "lost", IsSilent(err))
-				return Effects{}
+			ls.s.post(func(now time.Time) Actions {
+				ls.remove(now, l, "lost", IsPeerTimeout(err))
+				return Actions{}
 			})
 			return
 		}
 		m, err := Decode(b)
-		ls.s.post(func(now time.Time) Effects {
+		ls.s.post(func(now time.Time) Actions {
 			if err != nil {
-				var fx Effects
+				var fx Actions
 				fx.fail(err)
 				return fx
 			}
@@ -307,7 +307,7 @@
 }
 
 // wireBytes returns the bytes sent and received on all links so far.
-func (ls *linkSet) wireBytes() Wire {
+func (ls *linkSet) wireBytes() WireTraffic {
 	w := ls.retired
 	for _, l := range ls.active {
 		sent, received := l.WireBytes()
--- a/internal/distribution/message.go
+++ b/internal/distribution/message.go
@@ -42,13 +42,13 @@
 // Message is the envelope of everything sent between nodes on a control link.
 // Any of the parts may be set.
 type Message struct {
-	Protocol uint8              `cbor:"0,keyasint"`
-	Digest   *Digest            `cbor:"1,keyasint,omitempty"`
-	Updates  []Update           `cbor:"2,keyasint,omitempty"`
-	Wants    []Want             `cbor:"3,keyasint,omitempty"`
-	Rumors   []membership.Rumor `cbor:"4,keyasint,omitempty"`
-	Query    *Query             `cbor:"5,keyasint,omitempty"`
-	Reply    *Reply             `cbor:"6,keyasint,omitempty"`
+	Protocol    uint8              `cbor:"0,keyasint"`
+	Digest      *Digest            `cbor:"1,keyasint,omitempty"`
+	Updates     []Update           `cbor:"2,keyasint,omitempty"`
+	Wants       []Want             `cbor:"3,keyasint,omitempty"`
+	Rumors      []membership.Rumor `cbor:"4,keyasint,omitempty"`
+	StatusQuery *StatusQuery       `cbor:"5,keyasint,omitempty"`
+	StatusReply *StatusReply       `cbor:"6,keyasint,omitempty"`
 }
 
 // Digest tells what the sender holds. It is sent at intervals and on each new
@@ -58,8 +58,8 @@
 	// SourceAge is how long ago the platform last answered any node that the
 	// sender has heard of, in milliseconds.
 	SourceAge uint64 `cbor:"2,keyasint"`
-	// Ask requests the receiver's digest at once.
-	Ask bool `cbor:"3,keyasint,omitempty"`
+	// RequestDigest requests the receiver's digest at once.
+	RequestDigest bool `cbor:"3,keyasint,omitempty"`
 }
 
 // Update carries a newer document, as splices of From or, with From zero, as a
@@ -69,7 +69,7 @@
 	From    version.ID     `cbor:"2,keyasint"`
 	To      version.ID     `cbor:"3,keyasint"`
 	Splices []table.Splice `cbor:"4,keyasint,omitempty"`
-	Whole   []byte         `cbor:"5,keyasint,omitempty"` // zstd
+	Full    []byte         `cbor:"5,keyasint,omitempty"` // zstd
 }
 
 // Want asks for a document newer than Have.
@@ -78,17 +78,17 @@
 	Have version.ID `cbor:"2,keyasint"`
 }
 
-// Query asks every node for its status. It spreads over the overlay; the
+// StatusQuery asks every node for its status. It spreads over the overlay; the
 // answers are gathered on the way back.
-type Query struct {
+type StatusQuery struct {
 	ID uint64 `cbor:"1,keyasint"`
-	// Patience is how long the receiver may wait for its own neighbours, in
+	// TimeoutMs is how long the receiver may wait for its own neighbours, in
 	// milliseconds.
-	Patience uint32 `cbor:"2,keyasint"`
+	TimeoutMs uint32 `cbor:"2,keyasint"`
 }
 
-// Reply answers a Query for the sender and those it asked.
-type Reply struct {
+// StatusReply answers a Query for the sender and those it asked.
+type StatusReply struct {
 	ID    uint64       `cbor:"1,keyasint"`
 	Nodes []NodeStatus `cbor:"2,keyasint,omitempty"`
 }
--- a/internal/distribution/reader.go
+++ b/internal/distribution/reader.go
@@ -101,10 +101,10 @@
 		return 0, err
 	}
 	changed := v.Index != index
-	s.post(func(now time.Time) Effects {
+	s.post(func(now time.Time) Actions {
 		if !changed {
-			s.engine.SourceAnswered(now)
-			return Effects{}
+			s.engine.SourceUnchanged(now)
+			return Actions{}
 		}
 		return s.engine.Publish(now, doc, v.Raw)
 	})
--- a/internal/distribution/reading.go
+++ b/internal/distribution/reading.go
@@ -6,9 +6,11 @@
 	"github.com/walldrift/walldrift/internal/membership"
 )
 
-// Rank computes this node's place among the possible readers of its data
+// UpdateReaderRank computes this node's place among the possible readers of its data
 // centre.
-func (e *Engine) Rank(members []membership.Member) { e.rank = membership.ReaderRank(e.self, members) }
+func (e *Engine) UpdateReaderRank(members []membership.Member) {
+	e.rank = membership.ReaderRank(e.self, members)
+}
 
 // ShouldRead decides whether this node watches the platform: the first ranks
 // of its data centre always, others one after another as the source falls
--- a/internal/distribution/receive.go
+++ b/internal/distribution/receive.go
@@ -3,8 +3,8 @@
 import "time"
 
 // Receive handles a message from a neighbour.
-func (e *Engine) Receive(now time.Time, from string, m *Message) Effects {
-	var fx Effects
+func (e *Engine) Receive(now time.Time, from string, m *Message) Actions {
+	var fx Actions
 	if m.Digest != nil {
 		e.receiveDigest(&fx, now, from, m.Digest)
 	}
@@ -21,19 +21,19 @@
 	if len(m.Rumors) > 0 {
 		e.receiveRumors(&fx, now, from, m.Rumors)
 	}
-	if m.Query != nil {
-		e.receiveQuery(&fx, now, from, *m.Query)
+	if m.StatusQuery != nil {
+		e.receiveQuery(&fx, now, from, *m.StatusQuery)
 	}
-	if m.Reply != nil {
-		e.census.answer(from, *m.Reply)
+	if m.StatusReply != nil {
+		e.census.answer(from, *m.StatusReply)
 		e.finishSurveys(&fx, now)
 	}
 	return fx
 }
 
-func (e *Engine) receiveDigest(fx *Effects, now time.Time, from string, d *Digest) {
+func (e *Engine) receiveDigest(fx *Actions, now time.Time, from string, d *Digest) {
 	e.told[from] = true
-	if d.Ask {
+	if d.RequestDigest {
 		fx.send(from, CauseDigest, &Message{Digest: e.digest(now)})
 	}
 	at := now.Add(-time.Duration(min(d.SourceAge, maxSourceAge)) * time.Millisecond)
@@ -51,7 +51,7 @@
 	}
 }
 
-func (e *Engine) receiveUpdate(fx *Effects, now time.Time, from string, u Update) {
+func (e *Engine) receiveUpdate(fx *Actions, now time.Time, from string, u Update) {
 	advanced, want, err := e.docs[u.Doc].update(now, from, u)
 	fx.fail(err)
 	if want != nil {
@@ -62,7 +62,7 @@
 	}
 }
 
-func (e *Engine) receiveWant(fx *Effects, from string, w Want) {
+func (e *Engine) receiveWant(fx *Actions, from string, w Want) {
 	r := e.docs[w.Doc]
 	r.known[from] = w.Have
 	if updates := r.answer(w.Have); updates != nil {
--- a/internal/distribution/replica.go
+++ b/internal/distribution/replica.go
@@ -143,7 +143,7 @@
 // that is not held.
 func (r *replica) restore(u Update) ([]byte, error) {
 	if u.From.IsZero() {
-		return decompress(u.Whole)
+		return decompress(u.Full)
 	}
 	if u.From != r.held {
 		return nil, nil
@@ -200,7 +200,7 @@
 	if r.whole == nil {
 		r.whole = compress(r.raw)
 	}
-	return []Update{{Doc: r.doc, To: r.held, Whole: r.whole}}
+	return []Update{{Doc: r.doc, To: r.held, Full: r.whole}}
 }
 
 // chain returns the kept steps from have to the held version, or nil.
--- a/internal/distribution/rumors.go
+++ b/internal/distribution/rumors.go
@@ -6,9 +6,9 @@
 	"github.com/walldrift/walldrift/internal/membership"
 )
 
-func (e *Engine) receiveRumors(fx *Effects, now time.Time, from string, rumors []membership.Rumor) {
+func (e *Engine) receiveRumors(fx *Actions, now time.Time, from string, rumors []membership.Rumor) {
 	for _, r := range rumors {
-		news, refute := e.View.Hear(r, now)
+		news, refute := e.View.Apply(r, now)
 		if news {
 			e.spread(fx, from, r)
 		}
@@ -27,15 +27,15 @@
 
 // spread queues a rumor for the next Flush. Rumors come in herds, when many
 // instances start or fail at once; one message a link then carries them all.
-func (e *Engine) spread(fx *Effects, from string, r membership.Rumor) {
+func (e *Engine) spread(fx *Actions, from string, r membership.Rumor) {
 	fx.MembersChanged = true
 	fx.Flush = fx.Flush || len(e.pending) == 0
 	e.pending = append(e.pending, pendingRumor{r, from})
 }
 
 // Flush sends the queued rumors.
-func (e *Engine) Flush() Effects {
-	var fx Effects
+func (e *Engine) Flush() Actions {
+	var fx Actions
 	for _, peer := range e.neighbours() {
 		var batch []membership.Rumor
 		for _, p := range e.pending {
--- a/internal/distribution/service.go
+++ b/internal/distribution/service.go
@@ -50,8 +50,8 @@
 	bytes     [len(causeNames)]tally.Counter // by cause
 	rnd       *rand.Rand
 
-	events  chan func(now time.Time) Effects
-	surveys map[uint64]chan<- Survey
+	events  chan func(now time.Time) Actions
+	surveys map[uint64]chan<- StatusResult
 	links   *linkSet
 	members atomic.Pointer[[]membership.Member]
 	status  atomic.Pointer[NodeStatus]
@@ -89,8 +89,8 @@
 		log:       logger,
 		metrics:   metrics,
 		rnd:       rand.New(rand.NewPCG(h.Sum64(), cfg.Self.Generation)),
-		events:    make(chan func(time.Time) Effects, eventBuffer),
-		surveys:   make(map[uint64]chan<- Survey),
+		events:    make(chan func(time.Time) Actions, eventBuffer),
+		surveys:   make(map[uint64]chan<- StatusResult),
 		unsynced:  time.Now(),
 	}
 	for c, name := range causeNames {
@@ -144,12 +144,12 @@
 	s.log.Warn("process was paused", "gap", gap)
 	s.synced.Store(false)
 	s.unsynced = now
-	s.carryOut(s.engine.Awake(now))
+	s.carryOut(s.engine.RequestDigests(now))
 }
 
 // carryOut performs what the engine asked for.
-func (s *Service) carryOut(fx Effects) {
-	for _, send := range fx.Sends {
+func (s *Service) carryOut(fx Actions) {
+	for _, send := range fx.Messages {
 		s.links.send(send)
 	}
 	for _, err := range fx.Errors {
@@ -161,7 +161,7 @@
 		st := s.engine.Status(time.Now())
 		s.log.Info("version in force", "document", doc, "version", s.engine.Held(doc), "from", st.From)
 	}
-	for _, sv := range fx.Surveys {
+	for _, sv := range fx.StatusResults {
 		if ch, ok := s.surveys[sv.ID]; ok {
 			delete(s.surveys, sv.ID)
 			ch <- sv
@@ -171,7 +171,7 @@
 		s.links.overlayStale = true
 	}
 	if fx.Flush {
-		time.AfterFunc(rumorDelay, func() { s.post(func(time.Time) Effects { return s.engine.Flush() }) })
+		time.AfterFunc(rumorDelay, func() { s.post(func(time.Time) Actions { return s.engine.Flush() }) })
 	}
 	s.membersStale = s.membersStale || fx.MembersChanged
 	if now := time.Now(); len(fx.Advanced) > 0 || (s.membersStale && now.Sub(s.membersAt) >= membersSettle) {
@@ -236,7 +236,7 @@
 func (s *Service) Synced() bool { return s.synced.Load() }
 
 // post hands an event to the loop.
-func (s *Service) post(f func(now time.Time) Effects) {
+func (s *Service) post(f func(now time.Time) Actions) {
 	select {
 	case s.events <- f:
 	case <-s.ctx.Done():
@@ -246,9 +246,9 @@
 // ask calls f in the loop and returns its result; false if ctx ends first.
 func ask[T any](ctx context.Context, s *Service, f func(now time.Time) T) (T, bool) {
 	ch := make(chan T, 1)
-	s.post(func(now time.Time) Effects {
+	s.post(func(now time.Time) Actions {
 		ch <- f(now)
-		return Effects{}
+		return Actions{}
 	})
 	select {
 	case v := <-ch:
@@ -259,14 +259,14 @@
 	}
 }
 
-// Survey asks all nodes for their status.
-func (s *Service) Survey(ctx context.Context) ([]NodeStatus, error) {
-	ch := make(chan Survey, 1)
+// QueryStatus asks all nodes for their status.
+func (s *Service) QueryStatus(ctx context.Context) ([]NodeStatus, error) {
+	ch := make(chan StatusResult, 1)
 	id := rand.Uint64()
 	select {
-	case s.events <- func(now time.Time) Effects {
+	case s.events <- func(now time.Time) Actions {
 		s.surveys[id] = ch
-		return s.engine.Ask(now, id)
+		return s.engine.StartStatusQuery(now, id)
 	}:
 	case <-ctx.Done():
 		return nil, ctx.Err()
@@ -281,10 +281,10 @@
 	}
 }
 
-// Leave tells the neighbours that this instance leaves, or that it does not
+// SetLeaving tells the neighbours that this instance leaves, or that it does not
 // any more.
-func (s *Service) Leave(leaving bool) {
-	s.post(func(time.Time) Effects { return s.engine.Leave(leaving) })
+func (s *Service) SetLeaving(leaving bool) {
+	s.post(func(time.Time) Actions { return s.engine.SetLeaving(leaving) })
 }
 
 // Refusal returns the newest refused table that would be newer than the held
--- a/internal/distribution/traffic.go
+++ b/internal/distribution/traffic.go
@@ -8,8 +8,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Wire is the control traffic of a node on the wire, overheads included.
-type Wire struct {
+// WireTraffic is the control traffic of a node on the wire, overheads included.
+type WireTraffic struct {
 	Sent     uint64 `json:"sent"`
 	Received uint64 `json:"received"`
 }
@@ -20,21 +20,21 @@
 // countSent is called from the writers of the links.
 func (s *Service) countSent(c Cause, n int) {
 	s.bytes[c].Inc(int64(n))
-	s.post(func(time.Time) Effects {
+	s.post(func(time.Time) Actions {
 		s.engine.CountSent(c, n)
-		return Effects{}
+		return Actions{}
 	})
 }
 
 // WireBytes returns the bytes on the links in use.
-func (s *Service) WireBytes(ctx context.Context) Wire {
-	w, _ := ask(ctx, s, func(time.Time) Wire { return s.links.wireBytes() })
+func (s *Service) WireBytes(ctx context.Context) WireTraffic {
+	w, _ := ask(ctx, s, func(time.Time) WireTraffic { return s.links.wireBytes() })
 	return w
 }
 
-// IsSilent reports whether an error means that the peer stopped answering, as
+// IsPeerTimeout reports whether an error means that the peer stopped answering, as
 // opposed to closing the link.
-func IsSilent(err error) bool {
+func IsPeerTimeout(err error) bool {
 	var netErr net.Error
 	return errors.As(err, &netErr) && netErr.Timeout()
 }
@@ -46,9 +46,9 @@
 		if err != nil {
 			return
 		}
-		s.post(func(now time.Time) Effects {
+		s.post(func(now time.Time) Actions {
 			s.links.add(now, l)
-			return Effects{}
+			return Actions{}
 		})
 	}
 }
--- a/internal/fleet/faults_test.go
+++ b/internal/fleet/faults_test.go
@@ -69,7 +69,7 @@
 // Two data centres are cut from each other, and only one still reaches the
 // platform. Both go on serving; the other follows once the cut ends.
 func TestPartitionBothSidesServeAndAgree(t *testing.T) {
-	f := startSmall(t, Config{Faults: true, Settings: func(n *settings.Node) {
+	f := startSmall(t, Config{InjectFaults: true, Settings: func(n *settings.Node) {
 		quickKeys(n)
 		if n.DataCentre == "dc-2" {
 			n.Platform = &url.URL{Scheme: "http", Host: "127.0.0.1:9"} // nobody answers there
@@ -77,7 +77,7 @@
 			n.Seeds = []distribution.Seed{{Name: n.Name, Addr: n.Peers}}
 		}
 	}})
-	f.Network.Cut("dc-1", "dc-2", true)
+	f.Network.SetPartition("dc-1", "dc-2", true)
 	next, err := table.Set(smallLayout().Table(), table.Edit{Row: table.RowUpstream, Name: "pay-1", Column: table.ColWeight, Value: "3"})
 	assert.NilError(t, err)
 	f.Platform.Put(platform.KeyTable, next)
@@ -92,14 +92,14 @@
 	}
 	assert.Assert(t, served["pay-1"] > 0 && served["pay-2"] > 0, "%v", served)
 	assert.Equal(t, f.Node("pay-2").Table().Edition, uint64(1))
-	f.Network.Cut("dc-1", "dc-2", false)
+	f.Network.SetPartition("dc-1", "dc-2", false)
 	await(t, f, next)
 	assert.Assert(t, f.Network.Dropped() > 0)
 }
 
 // One datagram in five is lost; every edit still reaches every node.
 func TestEditsReachAllUnderLoss(t *testing.T) {
-	f := startSmall(t, Config{Faults: true})
+	f := startSmall(t, Config{InjectFaults: true})
 	f.Network.SetLoss(0.2)
 	raw := smallLayout().Table()
 	for i := range 5 {
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -35,9 +35,9 @@
 	LogLevel   string
 	// Settings changes the settings of each node before it starts; nil for none.
 	Settings func(*settings.Node)
-	// Faults puts a fault point at each node's socket, for Network. It costs the
+	// InjectFaults puts a fault point at each node's socket, for Network. It costs the
 	// socket's batched reads and writes.
-	Faults bool
+	InjectFaults bool
 	// Upstream wraps the handler of each upstream stand-in; nil for none.
 	Upstream func(name string, h http.Handler) http.Handler
 }
@@ -90,7 +90,7 @@
 			return nil, err
 		}
 	}
-	f.PublishList()
+	f.PublishInstances()
 	f.Platform.Put(platform.KeyTable, cfg.Table)
 	for _, p := range cfg.Placements {
 		if err := f.StartNode(p.Name); err != nil {
@@ -124,8 +124,8 @@
 // startTimeout bounds the wait of StartReady.
 const startTimeout = time.Minute
 
-// PublishList publishes the instance list.
-func (f *Fleet) PublishList() {
+// PublishInstances publishes the instance list.
+func (f *Fleet) PublishInstances() {
 	f.Platform.Put(platform.KeyInstances, standin.List(uint64(time.Now().UnixMilli()), f.cfg.Placements, f.peers))
 }
 
@@ -190,7 +190,7 @@
 }
 
 func (f *Fleet) faultPoint(p standin.Placement) peer.Wrap {
-	if !f.cfg.Faults {
+	if !f.cfg.InjectFaults {
 		return nil
 	}
 	return f.Network.wrap(p.DataCentre)
@@ -254,9 +254,9 @@
 	return <-m.done
 }
 
-// RestartBackend shuts a node down gracefully and starts it again on the same
+// RestartNode shuts a node down gracefully and starts it again on the same
 // addresses.
-func (f *Fleet) RestartBackend(name string) error {
+func (f *Fleet) RestartNode(name string) error {
 	old := f.Node(name)
 	if old == nil {
 		return errors.Newf("node %q does not run", name)
--- a/internal/fleet/network.go
+++ b/internal/fleet/network.go
@@ -38,8 +38,8 @@
 	n.centres[addr] = centre
 }
 
-// Cut stops, or lets through, all datagrams between two data centres.
-func (n *Network) Cut(a, b string, on bool) {
+// SetPartition stops, or lets through, all datagrams between two data centres.
+func (n *Network) SetPartition(a, b string, on bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.cut[[2]string{a, b}], n.cut[[2]string{b, a}] = on, on
--- a/internal/http1/caller_left.go
+++ b/internal/http1/caller_left.go
@@ -5,11 +5,11 @@
 // connKey is the context key of the connection that a request came on.
 type connKey struct{}
 
-// CallerLeft reports whether the caller of a request that a Server reads has closed
+// CallerDisconnected reports whether the caller of a request that a Server reads has closed
 // its side, which may lie behind the request unread: a process that stood still reads
 // both together, and its handler would hand on what nobody waits for. It costs one
 // call of the system.
-func CallerLeft(ctx context.Context) bool {
+func CallerDisconnected(ctx context.Context) bool {
 	if ctx.Err() != nil {
 		return true
 	}
--- a/internal/http1/client.go
+++ b/internal/http1/client.go
@@ -30,30 +30,30 @@
 	// connection is given up (TCP_USER_TIMEOUT), so that a peer without power
 	// is noticed; 0 leaves that to the system. Default 2 s.
 	UnackedTimeout time.Duration
-	// Expect waits for 100 Continue before bodies longer than this are sent;
+	// ExpectContinueAbove waits for 100 Continue before bodies longer than this are sent;
 	// negative never does.
-	Expect int64
-	// Belongs reports whether a response answers the request. Others are
+	ExpectContinueAbove int64
+	// MatchesRequest reports whether a response answers the request. Others are
 	// skipped: an upstream may send a second answer late. Nil accepts all.
-	Belongs func(req *http.Request, resp *http.Response) bool
+	MatchesRequest func(req *http.Request, resp *http.Response) bool
 }
 
 // DefaultClientConfig returns the defaults given at the fields.
 func DefaultClientConfig() ClientConfig {
 	return ClientConfig{
-		DialTimeout:    time.Second,
-		IdleTimeout:    20 * time.Second,
-		MaxIdle:        32,
-		UnackedTimeout: 2 * time.Second,
-		Expect:         -1,
+		DialTimeout:         time.Second,
+		IdleTimeout:         20 * time.Second,
+		MaxIdle:             32,
+		UnackedTimeout:      2 * time.Second,
+		ExpectContinueAbove: -1,
 	}
 }
 
 // ErrNotSent marks errors of a round trip that sent nothing of its request.
 var ErrNotSent = errors.New("nothing was sent")
 
-// ErrForeignAnswer reports that only answers to other requests came.
-var ErrForeignAnswer = errors.New("answers belong to other requests")
+// ErrForeignResponse reports that only answers to other requests came.
+var ErrForeignResponse = errors.New("answers belong to other requests")
 
 // Client is an http.RoundTripper that sends each request exactly once. The
 // address is that of req.URL.Host; the request target is req.RequestURI, or
@@ -182,8 +182,8 @@
 	c.idle[cc.addr] = append(c.idle[cc.addr], cc)
 }
 
-// Sweep closes connections unused for IdleTimeout. Call it now and then.
-func (c *Client) Sweep(now time.Time) {
+// CloseExpired closes connections unused for IdleTimeout. Call it now and then.
+func (c *Client) CloseExpired(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for addr, list := range c.idle {
@@ -204,7 +204,7 @@
 }
 
 // Close closes all idle connections.
-func (c *Client) Close() { c.Sweep(time.Now().Add(c.cfg.IdleTimeout + time.Hour)) }
+func (c *Client) Close() { c.CloseExpired(time.Now().Add(c.cfg.IdleTimeout + time.Hour)) }
 
 // Reset gives up all connections: idle ones at once, the others after the request
 // that they carry. Where a server has started again, a connection to its earlier
@@ -216,8 +216,8 @@
 	c.Close()
 }
 
-// Dialed returns the number of connections made.
-func (c *Client) Dialed() int64 {
+// DialCount returns the number of connections made.
+func (c *Client) DialCount() int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.dialed
--- a/internal/http1/client_test.go
+++ b/internal/http1/client_test.go
@@ -42,7 +42,7 @@
 
 func newTestClient() *Client {
 	cfg := DefaultClientConfig()
-	cfg.Belongs = func(req *http.Request, resp *http.Response) bool {
+	cfg.MatchesRequest = func(req *http.Request, resp *http.Response) bool {
 		return resp.Header.Get(idHeader) == req.Header.Get(idHeader)
 	}
 	return NewClient(cfg)
@@ -120,7 +120,7 @@
 		}
 	})
 	_, err := roundTrip(newTestClient(), newRequest(t, addr, "GET", "a", nil))
-	assert.Assert(t, errors.Is(err, ErrForeignAnswer))
+	assert.Assert(t, errors.Is(err, ErrForeignResponse))
 }
 
 // Bytes behind an answer belong to no request: the connection is not used again,
@@ -245,7 +245,7 @@
 			_, _ = w.Write(b[:4])
 		}, limits)
 		cfg := DefaultClientConfig()
-		cfg.Expect = 16
+		cfg.ExpectContinueAbove = 16
 		var touched atomic.Bool
 		body := readerFunc(func(p []byte) (int, error) {
 			if touched.Swap(true) {
--- a/internal/http1/conn.go
+++ b/internal/http1/conn.go
@@ -53,7 +53,7 @@
 		since:    now,
 		idleFrom: now,
 		cancel:   cancel,
-		slots:    make(chan struct{}, s.cfg.Pipelined),
+		slots:    make(chan struct{}, s.cfg.MaxPipelined),
 	}
 	c.ctx = context.WithValue(ctx, connKey{}, c)
 	return c
@@ -86,7 +86,7 @@
 		return false
 	}
 	if req == nil {
-		c.noteEnd(EndCallerGone)
+		c.noteEnd(EndCallerDisconnected)
 		c.cancel() // the caller has gone
 		return false
 	}
--- a/internal/http1/conn_close.go
+++ b/internal/http1/conn_close.go
@@ -67,9 +67,9 @@
 	case c.retired:
 		c.rd.awaitHangup()
 		c.rd.interrupt()
-		c.ended.Crossed, _ = io.Copy(io.Discard, c.rd)
+		c.ended.BytesAfterClose, _ = io.Copy(io.Discard, c.rd)
 	case ok && t.CloseWrite() == nil:
-		c.ended.Crossed, _ = io.Copy(io.Discard, c.rd)
+		c.ended.BytesAfterClose, _ = io.Copy(io.Discard, c.rd)
 	}
 	_ = c.nc.Close()
 }
--- a/internal/http1/conn_end.go
+++ b/internal/http1/conn_end.go
@@ -15,20 +15,20 @@
 const (
 	// EndIdle is an idle time that was over.
 	EndIdle EndCause = "idle"
-	// EndTold is an end that the answer before had told.
-	EndTold EndCause = "told"
+	// EndAnnounced is an end that the answer before had told.
+	EndAnnounced EndCause = "told"
 	// EndDrained is an idle connection of a draining server.
 	EndDrained EndCause = "drained"
-	// EndSpare is the one idle longest of more than Config.MaxIdle.
-	EndSpare EndCause = "too_many_idle"
+	// EndTooManyIdle is the one idle longest of more than Config.MaxIdle.
+	EndTooManyIdle EndCause = "too_many_idle"
 	// EndHeadTimeout is a head that took longer than Limits.HeaderTimeout.
 	EndHeadTimeout EndCause = "head_timeout"
-	// EndRefused is a head that could not be understood or was too long.
-	EndRefused EndCause = "head_refused"
-	// EndCallerGone is a caller that closed or reset its side.
-	EndCallerGone EndCause = "caller_gone"
-	// EndCut is an answer that the handler broke off or left short.
-	EndCut EndCause = "answer_cut"
+	// EndHeadRejected is a head that could not be understood or was too long.
+	EndHeadRejected EndCause = "head_refused"
+	// EndCallerDisconnected is a caller that closed or reset its side.
+	EndCallerDisconnected EndCause = "caller_gone"
+	// EndResponseAborted is an answer that the handler broke off or left short.
+	EndResponseAborted EndCause = "answer_cut"
 	// EndServerClosed is a server that was closed.
 	EndServerClosed EndCause = "server_closed"
 )
@@ -36,8 +36,8 @@
 // EndCauses lists all causes.
 func EndCauses() []EndCause {
 	return []EndCause{
-		EndIdle, EndTold, EndDrained, EndSpare, EndHeadTimeout,
-		EndRefused, EndCallerGone, EndCut, EndServerClosed,
+		EndIdle, EndAnnounced, EndDrained, EndTooManyIdle, EndHeadTimeout,
+		EndHeadRejected, EndCallerDisconnected, EndResponseAborted, EndServerClosed,
 	}
 }
 
@@ -50,11 +50,11 @@
 	Unread bool
 	// Unanswered is the number of requests that were read and have no whole answer.
 	Unanswered int
-	// Late is how long after the deadline the process noticed it: what the process
+	// DetectionDelay is how long after the deadline the process noticed it: what the process
 	// itself stood still. 0 if no deadline ended the connection.
-	Late time.Duration
-	// Crossed is the number of bytes that came after the decision.
-	Crossed int64
+	DetectionDelay time.Duration
+	// BytesAfterClose is the number of bytes that came after the decision.
+	BytesAfterClose int64
 }
 
 // noteEnd keeps the cause of the end unless an earlier one is known.
@@ -76,25 +76,25 @@
 
 // report hands the end to the server's owner.
 func (c *conn) report() {
-	if c.server.cfg.Ended == nil {
+	if c.server.cfg.OnConnEnd == nil {
 		return
 	}
 	c.mu.Lock()
 	c.noteEndLocked(c.decided())
 	end := c.ended
 	c.mu.Unlock()
-	c.server.cfg.Ended(end)
+	c.server.cfg.OnConnEnd(end)
 }
 
 // decided is the cause by what was decided on the connection. The lock is held.
 func (c *conn) decided() EndCause {
 	switch {
 	case c.told:
-		return EndTold
+		return EndAnnounced
 	case c.server.draining.Load():
 		return EndDrained
 	case c.closing:
-		return EndSpare
+		return EndTooManyIdle
 	default:
 		return EndIdle
 	}
@@ -102,7 +102,7 @@
 
 // noteRefusal keeps why a head was refused.
 func (c *conn) noteRefusal(status int) {
-	cause := EndRefused
+	cause := EndHeadRejected
 	if status == http.StatusRequestTimeout {
 		cause = EndHeadTimeout
 	}
@@ -110,17 +110,17 @@
 	defer c.mu.Unlock()
 	c.noteEndLocked(cause)
 	if cause == EndHeadTimeout {
-		c.ended.Late, c.ended.Unread = c.rd.late(time.Now()), c.rd.pending() > 0
+		c.ended.DetectionDelay, c.ended.Unread = c.rd.late(time.Now()), c.rd.pending() > 0
 	}
 }
 
 // noteCut counts a request whose answer is not whole. A failed write means that
 // the caller has gone.
 func (c *conn) noteCut(err error) {
-	cause := EndCut
+	cause := EndResponseAborted
 	var failed *net.OpError
 	if c.ctx.Err() != nil || errors.As(err, &failed) {
-		cause = EndCallerGone
+		cause = EndCallerDisconnected
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/http1/conn_end_test.go
+++ b/internal/http1/conn_end_test.go
@@ -16,7 +16,7 @@
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	ends = make(chan ConnEnd, 64)
-	cfg.Ended = func(e ConnEnd) { ends <- e }
+	cfg.OnConnEnd = func(e ConnEnd) { ends <- e }
 	s = NewServer(cfg)
 	go func() { _ = s.Serve(l) }()
 	t.Cleanup(s.Close)
@@ -36,14 +36,14 @@
 		then   func(s *Server, nc net.Conn)
 		cut    int
 	}{
-		EndIdle:         {limits: brief},
-		EndTold:         {send: "GET / HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n"},
-		EndDrained:      {send: get("/"), then: func(s *Server, _ net.Conn) { s.Drain() }},
-		EndHeadTimeout:  {limits: quick, send: "GET /"},
-		EndRefused:      {send: "hello\r\n\r\n"},
-		EndCallerGone:   {send: get("/"), then: func(_ *Server, nc net.Conn) { _ = nc.Close() }},
-		EndCut:          {send: get("/cut"), cut: 1},
-		EndServerClosed: {send: get("/"), then: func(s *Server, _ net.Conn) { s.Close() }},
+		EndIdle:               {limits: brief},
+		EndAnnounced:          {send: "GET / HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n"},
+		EndDrained:            {send: get("/"), then: func(s *Server, _ net.Conn) { s.Drain() }},
+		EndHeadTimeout:        {limits: quick, send: "GET /"},
+		EndHeadRejected:       {send: "hello\r\n\r\n"},
+		EndCallerDisconnected: {send: get("/"), then: func(_ *Server, nc net.Conn) { _ = nc.Close() }},
+		EndResponseAborted:    {send: get("/cut"), cut: 1},
+		EndServerClosed:       {send: get("/"), then: func(s *Server, _ net.Conn) { s.Close() }},
 	}
 	for cause, c := range cases {
 		t.Run(string(cause), func(t *testing.T) {
@@ -63,7 +63,7 @@
 			end := <-ends
 			assert.Equal(t, end.Cause, cause)
 			assert.Equal(t, end.Unanswered, c.cut)
-			assert.Assert(t, !end.Unread && end.Crossed == 0)
+			assert.Assert(t, !end.Unread && end.BytesAfterClose == 0)
 		})
 	}
 }
@@ -80,5 +80,5 @@
 	_, err := br.ReadByte()
 	assert.Equal(t, err, io.EOF)
 	assert.NilError(t, first.Close())
-	assert.Equal(t, (<-ends).Cause, EndSpare)
+	assert.Equal(t, (<-ends).Cause, EndTooManyIdle)
 }
--- a/internal/http1/conn_wait.go
+++ b/internal/http1/conn_wait.go
@@ -57,13 +57,13 @@
 	now := time.Now()
 	switch {
 	case c.told || c.aborted:
-		c.noteEndLocked(EndTold)
+		c.noteEndLocked(EndAnnounced)
 		return false
 	case err == nil:
 		c.closing, c.since = false, now
 		return true
 	case !isTimeout(err):
-		c.noteEndLocked(EndCallerGone)
+		c.noteEndLocked(EndCallerDisconnected)
 		c.cancel()
 		return false
 	case c.last != nil:
@@ -76,7 +76,7 @@
 	}
 	c.retired = true
 	c.noteEndLocked(c.decided())
-	c.ended.Late = c.rd.late(now)
+	c.ended.DetectionDelay = c.rd.late(now)
 	return false
 }
 
--- a/internal/http1/deadline_test.go
+++ b/internal/http1/deadline_test.go
@@ -94,8 +94,8 @@
 	reads := newPoint(1 << 32)
 	ends := make(chan ConnEnd, 1)
 	s, addr := startStalled(t, Config{
-		Handler: http.HandlerFunc(echo),
-		Ended:   func(e ConnEnd) { ends <- e },
+		Handler:   http.HandlerFunc(echo),
+		OnConnEnd: func(e ConnEnd) { ends <- e },
 	}, stalls{read: reads})
 	nc, br := dial(t, addr)
 	write(t, nc, get("/a"))
@@ -109,7 +109,7 @@
 	assert.NilError(t, nc.Close())
 	end := <-ends
 	assert.Equal(t, end.Cause, EndDrained)
-	assert.Equal(t, end.Crossed, int64(len(get("/b"))))
+	assert.Equal(t, end.BytesAfterClose, int64(len(get("/b"))))
 	assert.Assert(t, !end.Unread && end.Unanswered == 0)
 }
 
@@ -120,9 +120,9 @@
 	at := newPoint(1)
 	ends := make(chan ConnEnd, 1)
 	_, addr := startStalled(t, Config{
-		Handler: http.HandlerFunc(echo),
-		Limits:  limitsOf(limits),
-		Ended:   func(e ConnEnd) { ends <- e },
+		Handler:   http.HandlerFunc(echo),
+		Limits:    limitsOf(limits),
+		OnConnEnd: func(e ConnEnd) { ends <- e },
 	}, stalls{wait: at})
 	nc, br := dial(t, addr)
 	<-at.standing
@@ -133,5 +133,5 @@
 	assert.NilError(t, nc.Close())
 	end := <-ends
 	assert.Equal(t, end.Cause, EndIdle)
-	assert.Assert(t, end.Late >= 9*brief, "%v", end.Late)
+	assert.Assert(t, end.DetectionDelay >= 9*brief, "%v", end.DetectionDelay)
 }
--- a/internal/http1/drain_test.go
+++ b/internal/http1/drain_test.go
@@ -60,7 +60,7 @@
 	write(t, nc, get("/"))
 	resp, _ := read(t, br)
 	assert.Assert(t, !resp.Close)
-	s.Announce()
+	s.AnnounceClose()
 	time.Sleep(10 * time.Millisecond)
 	write(t, nc, get("/"))
 	resp, body := read(t, br)
--- a/internal/http1/late_test.go
+++ b/internal/http1/late_test.go
@@ -43,8 +43,8 @@
 		}
 	})
 	c := newTestClient()
-	belongs := c.cfg.Belongs
-	c.cfg.Belongs = func(req *http.Request, resp *http.Response) bool {
+	belongs := c.cfg.MatchesRequest
+	c.cfg.MatchesRequest = func(req *http.Request, resp *http.Response) bool {
 		s.stall(t)
 		return belongs(req, resp)
 	}
@@ -172,8 +172,8 @@
 				close(closed)
 			})
 			c := newTestClient()
-			belongs := c.cfg.Belongs
-			c.cfg.Belongs = func(req *http.Request, resp *http.Response) bool {
+			belongs := c.cfg.MatchesRequest
+			c.cfg.MatchesRequest = func(req *http.Request, resp *http.Response) bool {
 				s.stall(t)
 				return belongs(req, resp)
 			}
--- a/internal/http1/server.go
+++ b/internal/http1/server.go
@@ -26,10 +26,10 @@
 	Handler http.Handler
 	// Limits returns the limits in force; nil means DefaultLimits.
 	Limits func() Limits
-	// Pipelined is the number of requests of one connection in progress at
+	// MaxPipelined is the number of requests of one connection in progress at
 	// once. More hides the wait behind a slow answer, fewer bounds what one
 	// caller can take. Default 8.
-	Pipelined int
+	MaxPipelined int
 	// MaxIdle is the number of connections without a request that are kept; the
 	// one idle longest is closed for a further one. More spares callers new
 	// connections, fewer takes less memory and descriptors. 0 means no bound.
@@ -38,8 +38,8 @@
 	// smaller one makes a write last until its bytes are nearly out, so that who
 	// writes knows how full the link is. 0 leaves the system's own.
 	WriteBuffer int
-	// Ended is called for each connection that has ended; nil for none.
-	Ended func(ConnEnd)
+	// OnConnEnd is called for each connection that has ended; nil for none.
+	OnConnEnd func(ConnEnd)
 }
 
 // DefaultLimits returns limits for connections between nodes.
@@ -72,8 +72,8 @@
 	if cfg.Limits == nil {
 		cfg.Limits = DefaultLimits
 	}
-	if cfg.Pipelined == 0 {
-		cfg.Pipelined = defaultPipelined
+	if cfg.MaxPipelined == 0 {
+		cfg.MaxPipelined = defaultPipelined
 	}
 	return &Server{cfg: cfg, conns: make(map[*conn]struct{}), idle: idleList{most: cfg.MaxIdle}}
 }
@@ -145,16 +145,16 @@
 	return len(s.conns)
 }
 
-// Announce tells the caller of each connection with its next answer that this is
+// AnnounceClose tells the caller of each connection with its next answer that this is
 // the last one on it. Nothing is closed that was not told, and new connections are
 // served.
-func (s *Server) Announce() { s.announced.Store(true) }
+func (s *Server) AnnounceClose() { s.announced.Store(true) }
 
 // Drain announces the end and closes idle connections, but for those on which a
 // request has come meanwhile or none has come at all yet. New connections are
 // still served.
 func (s *Server) Drain() {
-	s.Announce()
+	s.AnnounceClose()
 	s.draining.Store(true)
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/http1/stall_test.go
+++ b/internal/http1/stall_test.go
@@ -278,7 +278,7 @@
 		ran.Store(r.URL.Path, true)
 		w.Header().Set("Connection", "close")
 		echo(w, r)
-	}), Pipelined: 1}, stalls{})
+	}), MaxPipelined: 1}, stalls{})
 	nc, br := dial(t, addr)
 	write(t, nc, get("/a"))
 	resp, _ := read(t, br)
--- a/internal/http1/trip.go
+++ b/internal/http1/trip.go
@@ -98,7 +98,7 @@
 func (t *trip) hasBody() bool { return t.length() != 0 }
 
 func (t *trip) expects() bool {
-	limit := t.client.cfg.Expect
+	limit := t.client.cfg.ExpectContinueAbove
 	return t.hasBody() && limit >= 0 && (t.length() < 0 || t.length() > limit)
 }
 
@@ -155,7 +155,7 @@
 		switch {
 		case resp.StatusCode < http.StatusOK:
 			t.informational(resp.StatusCode)
-		case t.client.cfg.Belongs != nil && !t.client.cfg.Belongs(t.req, resp):
+		case t.client.cfg.MatchesRequest != nil && !t.client.cfg.MatchesRequest(t.req, resp):
 			foreign++
 			if _, err := io.Copy(io.Discard, resp.Body); err != nil {
 				return nil, t.explain(err)
@@ -166,7 +166,7 @@
 			return resp, nil
 		}
 	}
-	return nil, ErrForeignAnswer
+	return nil, ErrForeignResponse
 }
 
 func (t *trip) informational(status int) {
--- a/internal/cowmap/cowmap.go
+++ b/internal/immutable/cowmap.go
@@ -1,6 +1,6 @@
 // Package cowmap holds an immutable map of which a changed copy costs little: it is kept in
 // parts, about as many as each has entries, and a copy shares all parts that stay.
-package cowmap
+package immutable
 
 import (
 	"hash/maphash"
@@ -15,8 +15,8 @@
 	size  int
 }
 
-// Of returns a map of the given entries.
-func Of[K comparable, V any](entries map[K]V) *Map[K, V] {
+// New returns a map of the given entries.
+func New[K comparable, V any](entries map[K]V) *Map[K, V] {
 	m := &Map[K, V]{parts: make([]map[K]V, partsFor(len(entries))), seed: maphash.MakeSeed(), size: len(entries)}
 	for k, v := range entries {
 		at := m.part(k)
@@ -76,11 +76,11 @@
 	}
 }
 
-// Change returns the map with some entries set and some keys taken out. One that has grown
+// Update returns the map with some entries set and some keys taken out. One that has grown
 // or shrunk far beyond its parts is parted anew.
-func (m *Map[K, V]) Change(set map[K]V, gone []K) *Map[K, V] {
+func (m *Map[K, V]) Update(set map[K]V, gone []K) *Map[K, V] {
 	if m == nil || len(m.parts) == 0 {
-		return Of(set)
+		return New(set)
 	}
 	next := &Map[K, V]{parts: append([]map[K]V(nil), m.parts...), seed: m.seed, size: m.size}
 	owned := make(map[int]bool, len(set)+len(gone))
@@ -109,7 +109,7 @@
 		p[k] = v
 	}
 	if want := partsFor(next.size); want > 2*len(next.parts) || 2*want < len(next.parts) {
-		return Of(maps.Collect(next.All()))
+		return New(maps.Collect(next.All()))
 	}
 	return next
 }
--- a/internal/cowmap/cowmap_test.go
+++ b/internal/immutable/cowmap_test.go
@@ -1,4 +1,4 @@
-package cowmap
+package immutable
 
 import (
 	"maps"
@@ -11,7 +11,7 @@
 // A changed copy has what a plain map would have, and the map before stays as it was.
 func TestAgainstPlainMap(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(1, 2))
-	m, plain := Of(map[int]int{}), map[int]int{}
+	m, plain := New(map[int]int{}), map[int]int{}
 	for step := range 2000 {
 		set, gone := map[int]int{}, []int{}
 		for range rnd.IntN(4) {
@@ -23,7 +23,7 @@
 			}
 		}
 		before := maps.Clone(plain)
-		next := m.Change(set, gone)
+		next := m.Update(set, gone)
 		assert.DeepEqual(t, maps.Collect(m.All()), before)
 		for _, k := range gone {
 			delete(plain, k)
@@ -44,5 +44,5 @@
 	_, ok := m.Get("a")
 	assert.Assert(t, !ok)
 	assert.Equal(t, m.Len(), 0)
-	assert.Equal(t, m.Change(map[string]int{"a": 1}, nil).Len(), 1)
+	assert.Equal(t, m.Update(map[string]int{"a": 1}, nil).Len(), 1)
 }
--- a/internal/ledger/ask.go
+++ b/internal/ledger/ask.go
@@ -3,11 +3,11 @@
 // maxAsked bounds the homes asked about one key.
 const maxAsked = 64
 
-// AskOthers asks other possible homes of a key that self holds as running
+// ClaimFromOthers asks other possible homes of a key that self holds as running
 // meanwhile, and those that they name. Run means that none of them ran it or
 // will while its fence stands. claim asks one home; its error means that the
 // answer is not known.
-func AskOthers(self string, homes []string, claim func(home string) (Verdict, error)) Verdict {
+func ClaimFromOthers(self string, homes []string, claim func(home string) (Verdict, error)) Verdict {
 	asked := map[string]bool{self: true}
 	for len(homes) > 0 {
 		home := homes[0]
@@ -23,8 +23,8 @@
 		if v.Decision != Moved {
 			return v
 		}
-		if v.Ask != "" {
-			homes = append(homes, v.Ask)
+		if v.AlsoClaimFrom != "" {
+			homes = append(homes, v.AlsoClaimFrom)
 		}
 	}
 	return Verdict{Decision: Run}
--- a/internal/ledger/home.go
+++ b/internal/ledger/home.go
@@ -26,11 +26,11 @@
 	return out
 }
 
-// Home returns the upstream that alone may run the request of a key: weighted
+// Owner returns the upstream that alone may run the request of a key: weighted
 // rendezvous hashing over the table's upstreams of the service. It does not
 // depend on who is live, so two sides of a partition agree. A changed weight
 // moves only its part of the keys.
-func Home(svc *snapshot.Service, k Key) string { return home(sharesOf(svc), k) }
+func Owner(svc *snapshot.Service, k Key) string { return home(sharesOf(svc), k) }
 
 func home(shares []share, k Key) string {
 	best, name := math.Inf(-1), ""
@@ -61,23 +61,23 @@
 	names map[string]time.Time
 }
 
-// History remembers when the homes of each service last changed here. While
+// OwnerHistory remembers when the homes of each service last changed here. While
 // other nodes may still hold earlier homes, or have already held later ones,
 // a home asks all upstreams of the service before it runs a key. It must ask
 // all, not only the homes that its own versions gave: a node that starts, or
 // that skips a version, never saw the others. Not safe for concurrent use.
-type History struct {
+type OwnerHistory struct {
 	cfg      Config
 	services map[string]*mapping
 }
 
-// NewHistory returns an empty history.
-func NewHistory(cfg Config) *History {
-	return &History{cfg: cfg, services: make(map[string]*mapping)}
+// NewOwnerHistory returns an empty history.
+func NewOwnerHistory(cfg Config) *OwnerHistory {
+	return &OwnerHistory{cfg: cfg, services: make(map[string]*mapping)}
 }
 
 // Add takes over the snapshot that came into force at the given time.
-func (h *History) Add(now time.Time, snap *snapshot.Snapshot) {
+func (h *OwnerHistory) Add(now time.Time, snap *snapshot.Snapshot) {
 	for _, row := range snap.Table.Services {
 		svc := snap.Service(row.Name)
 		next := sharesOf(svc)
@@ -100,9 +100,9 @@
 	}
 }
 
-// Ask returns the upstreams to ask before the key is run at self, sorted; none
+// OwnersToClaimFrom returns the upstreams to ask before the key is run at self, sorted; none
 // once every node must hold these homes.
-func (h *History) Ask(now time.Time, k Key, self string) []string {
+func (h *OwnerHistory) OwnersToClaimFrom(now time.Time, k Key, self string) []string {
 	m := h.services[k.Service]
 	if m == nil || h.settled(now, k, m.since) {
 		return nil
@@ -120,8 +120,8 @@
 // settled reports whether the key cannot have been run under other homes than
 // those in force here since the given time: it was born after all nodes had
 // them, or, for a key without a time, its repeats have ended.
-func (h *History) settled(now time.Time, k Key, since time.Time) bool {
-	if birth, timed := k.Birth(); timed {
+func (h *OwnerHistory) settled(now time.Time, k Key, since time.Time) bool {
+	if birth, timed := k.CreatedAt(); timed {
 		return birth.After(since.Add(h.cfg.Settle + h.cfg.Skew))
 	}
 	return now.After(since.Add(h.cfg.Window))
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -61,8 +61,8 @@
 	Value   string // the caller's Idempotency-Key
 }
 
-// Birth returns the time in a key that carries one: a version 7 UUID, RFC 9562.
-func (k Key) Birth() (time.Time, bool) {
+// CreatedAt returns the time in a key that carries one: a version 7 UUID, RFC 9562.
+func (k Key) CreatedAt() (time.Time, bool) {
 	id, err := uuid.Parse(k.Value)
 	if err != nil || id.Version() != 7 {
 		return time.Time{}, false
@@ -158,9 +158,9 @@
 type Verdict struct {
 	Decision Decision
 	Answer   *Answer // of Replay, if it was kept
-	// Ask names another home that took the key over before and must be asked
+	// AlsoClaimFrom names another home that took the key over before and must be asked
 	// as well; empty if none did.
-	Ask string
+	AlsoClaimFrom string
 }
 
 // Begin decides about a request at its home. fingerprint tells different
@@ -180,7 +180,7 @@
 		// A later version has made this node the home again.
 		ask := e.fence.Home
 		*e = entry{key: k, fingerprint: fingerprint, state: running}
-		return Verdict{Decision: Run, Ask: ask}
+		return Verdict{Decision: Run, AlsoClaimFrom: ask}
 	}
 	if e.state != fenced && e.fingerprint != fingerprint {
 		return Verdict{Decision: Conflict}
@@ -211,7 +211,7 @@
 	}
 	v := e.verdict()
 	if e.fence.Home != f.Home {
-		v.Ask = e.fence.Home
+		v.AlsoClaimFrom = e.fence.Home
 	}
 	e.fence = f
 	l.end(now, e)
@@ -221,7 +221,7 @@
 // unseen decides about a key that is not remembered: Run only if it cannot
 // have been used before.
 func (l *Ledger) unseen(now time.Time, k Key) Decision {
-	birth, timed := k.Birth()
+	birth, timed := k.CreatedAt()
 	switch {
 	case timed && birth.After(now.Add(l.cfg.Skew)):
 		return Future
@@ -246,8 +246,8 @@
 	NotRun Outcome = iota
 	// Done means that it ran and was answered.
 	Done
-	// Lost means that it may have run.
-	Lost
+	// OutcomeUnknown means that it may have run.
+	OutcomeUnknown
 )
 
 // Finish ends a request that Begin let run.
@@ -265,7 +265,7 @@
 	case Done:
 		e.state = done
 		e.answer = l.keep(a)
-	case Lost:
+	case OutcomeUnknown:
 		e.state = unknown
 	}
 	l.end(now, e)
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -30,10 +30,10 @@
 
 func TestBirthOfTimedKey(t *testing.T) {
 	at := time.UnixMilli(1_700_000_000_123)
-	birth, ok := timedKey(at, 1).Birth()
+	birth, ok := timedKey(at, 1).CreatedAt()
 	assert.Assert(t, ok)
 	assert.Equal(t, birth.UnixMilli(), at.UnixMilli())
-	_, ok = Key{Value: "order-77"}.Birth()
+	_, ok = Key{Value: "order-77"}.CreatedAt()
 	assert.Assert(t, !ok)
 }
 
@@ -41,7 +41,7 @@
 type testHome struct {
 	name    string
 	ledger  *Ledger
-	history *History
+	history *OwnerHistory
 	snap    *snapshot.Snapshot
 }
 
@@ -72,12 +72,12 @@
 	if v.Decision != Run {
 		return v.Decision
 	}
-	ask := h.history.Ask(now, k, h.name)
-	if v.Ask != "" {
-		ask = append(ask, v.Ask)
+	ask := h.history.OwnersToClaimFrom(now, k, h.name)
+	if v.AlsoClaimFrom != "" {
+		ask = append(ask, v.AlsoClaimFrom)
 	}
 	fence := Fence{Home: h.name, Version: h.snap.ID}
-	v = AskOthers(h.name, ask, func(name string) (Verdict, error) {
+	v = ClaimFromOthers(h.name, ask, func(name string) (Verdict, error) {
 		if cut(name) {
 			return Verdict{}, errors.New("cut")
 		}
@@ -104,7 +104,7 @@
 		homes := make(map[string]*testHome)
 		var names []string
 		start := func(name string, snap *snapshot.Snapshot) {
-			h := &testHome{name: name, ledger: New(testConfig, now), history: NewHistory(testConfig), snap: snap}
+			h := &testHome{name: name, ledger: New(testConfig, now), history: NewOwnerHistory(testConfig), snap: snap}
 			h.history.Add(now, snap)
 			homes[name] = h
 		}
@@ -132,8 +132,8 @@
 			k := rapid.SampledFrom(keys).Draw(t, "key")
 			// The caller's node may be behind or ahead of the home.
 			view := versions[rapid.IntRange(0, len(versions)-1).Draw(t, "view")]
-			h := homes[Home(view.Service("s"), k)]
-			if Home(h.snap.Service("s"), k) != h.name {
+			h := homes[Owner(view.Service("s"), k)]
+			if Owner(h.snap.Service("s"), k) != h.name {
 				return // refused as moved before the ledger is asked
 			}
 			cutOff := name.Draw(t, "unreachable")
@@ -165,7 +165,7 @@
 			"end": func(t *rapid.T) {
 				for _, k := range keys {
 					for _, n := range running[k] {
-						o := rapid.SampledFrom([]Outcome{Done, Lost, NotRun}).Draw(t, "outcome")
+						o := rapid.SampledFrom([]Outcome{Done, OutcomeUnknown, NotRun}).Draw(t, "outcome")
 						if o == NotRun {
 							count[k]--
 						}
@@ -221,7 +221,7 @@
 func onlyTimed(keys []Key) []Key {
 	var out []Key
 	for _, k := range keys {
-		if _, timed := k.Birth(); timed {
+		if _, timed := k.CreatedAt(); timed {
 			out = append(out, k)
 		}
 	}
@@ -243,13 +243,13 @@
 func TestStartedHomeAsksHomesItNeverSaw(t *testing.T) {
 	now := time.Unix(10_000, 0)
 	old, next := weightsTable(1, []int{1, 0, 0}), weightsTable(2, []int{0, 1, 0})
-	behind, started := New(testConfig, now.Add(-time.Hour)), NewHistory(testConfig)
+	behind, started := New(testConfig, now.Add(-time.Hour)), NewOwnerHistory(testConfig)
 	k := timedKey(now.Add(2*time.Second), 1)
 	assert.Equal(t, behind.Begin(now.Add(2*time.Second), k, 1, old.ID).Decision, Run)
 	started.Add(now, next)
-	assert.DeepEqual(t, started.Ask(now.Add(3*time.Second), k, "h1"), []string{"h0", "h2"})
+	assert.DeepEqual(t, started.OwnersToClaimFrom(now.Add(3*time.Second), k, "h1"), []string{"h0", "h2"})
 	later := timedKey(now.Add(testConfig.Settle+2*time.Second), 2)
-	assert.Equal(t, len(started.Ask(now.Add(testConfig.Settle+3*time.Second), later, "h1")), 0)
+	assert.Equal(t, len(started.OwnersToClaimFrom(now.Add(testConfig.Settle+3*time.Second), later, "h1")), 0)
 }
 
 // Any home that cannot be asked, or that names one, stops the run.
@@ -261,7 +261,7 @@
 		case "ran":
 			return Verdict{Decision: Replay}, nil
 		case "fenced":
-			return Verdict{Decision: Moved, Ask: "ran"}, nil
+			return Verdict{Decision: Moved, AlsoClaimFrom: "ran"}, nil
 		}
 		return Verdict{Decision: Moved}, nil
 	}
@@ -275,7 +275,7 @@
 		{[]string{"b", "ran"}, Replay},
 		{[]string{"fenced", "b"}, Replay},
 	} {
-		assert.Equal(t, AskOthers("self", c.homes, claim).Decision, c.want, "%v", c.homes)
+		assert.Equal(t, ClaimFromOthers("self", c.homes, claim).Decision, c.want, "%v", c.homes)
 	}
 }
 
@@ -327,9 +327,9 @@
 	const n = 10_000
 	for i := range n {
 		k := Key{Service: "s", Value: fmt.Sprint(i)}
-		if Home(before, k) != Home(after, k) {
+		if Owner(before, k) != Owner(after, k) {
 			moved++
-			if Home(after, k) == "h2" {
+			if Owner(after, k) == "h2" {
 				to++
 			}
 		}
--- a/internal/membership/list.go
+++ b/internal/membership/list.go
@@ -20,8 +20,8 @@
 
 // The states of the platform's list.
 const (
-	Live    ListState = "live"
-	Leaving ListState = "leaving"
+	ListedLive    ListState = "live"
+	ListedLeaving ListState = "leaving"
 )
 
 // Instance is one upstream instance with its node. Generation is the start
@@ -64,7 +64,7 @@
 			return nil, version.ID{}, errors.Wrapf(ErrList, "instance %q in data centre %q", in.Name, in.DataCentre)
 		case !in.Peer.IsValid():
 			return nil, version.ID{}, errors.Wrapf(ErrList, "instance %q has no address", in.Name)
-		case in.State != Live && in.State != Leaving:
+		case in.State != ListedLive && in.State != ListedLeaving:
 			return nil, version.ID{}, errors.Wrapf(ErrList, "instance %q has state %q", in.Name, in.State)
 		case seen[in.Name]:
 			return nil, version.ID{}, errors.Wrapf(ErrList, "instance %q stands twice", in.Name)
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -17,7 +17,7 @@
 var testAddr = netip.MustParseAddrPort("127.0.0.1:1")
 
 func instance(name string, generation uint64) Instance {
-	return Instance{Name: name, DataCentre: "dc", Region: "r", Peer: testAddr, State: Live, Generation: generation}
+	return Instance{Name: name, DataCentre: "dc", Region: "r", Peer: testAddr, State: ListedLive, Generation: generation}
 }
 
 // fleet makes members spread over data centres and regions.
@@ -26,7 +26,7 @@
 	for i := range out {
 		dc := i % centres
 		out[i] = Member{Instance: Instance{
-			Name: fmt.Sprintf("n%04d", i), DataCentre: fmt.Sprintf("dc%02d", dc), Region: fmt.Sprintf("r%d", dc%regions), Peer: testAddr, State: Live,
+			Name: fmt.Sprintf("n%04d", i), DataCentre: fmt.Sprintf("dc%02d", dc), Region: fmt.Sprintf("r%d", dc%regions), Peer: testAddr, State: ListedLive,
 		}}
 	}
 	return out
@@ -166,14 +166,14 @@
 			generation += 10
 			views[n] = NewView(DefaultConfig(), instance(n, generation))
 			views[n].SetList(list, now)
-			return views[n].Own()
+			return views[n].SelfRumor()
 		}
 		var sent []Rumor
 		for _, n := range names {
 			sent = append(sent, start(n))
 		}
 		hear := func(n string, r Rumor) {
-			if _, refute := views[n].Hear(r, now); refute != nil {
+			if _, refute := views[n].Apply(r, now); refute != nil {
 				sent = append(sent, *refute)
 			}
 		}
@@ -181,12 +181,14 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"hear": func(t *rapid.T) { hear(name.Draw(t, "who"), rapid.SampledFrom(sent).Draw(t, "rumor")) },
 			"doubt": func(t *rapid.T) {
-				if r, ok := views[name.Draw(t, "who")].Doubt(name.Draw(t, "whom"), now); ok {
+				if r, ok := views[name.Draw(t, "who")].Suspect(name.Draw(t, "whom"), now); ok {
 					sent = append(sent, r)
 				}
 			},
 			"restart": func(t *rapid.T) { sent = append(sent, start(name.Draw(t, "who"))) },
-			"leave":   func(t *rapid.T) { sent = append(sent, views[name.Draw(t, "who")].Leave(rapid.Bool().Draw(t, "on"))) },
+			"leave": func(t *rapid.T) {
+				sent = append(sent, views[name.Draw(t, "who")].SetLeaving(rapid.Bool().Draw(t, "on")))
+			},
 			"time": func(t *rapid.T) {
 				now = now.Add(time.Duration(rapid.IntRange(1, 3000).Draw(t, "ms")) * time.Millisecond)
 			},
@@ -203,7 +205,7 @@
 		now = now.Add(time.Minute)
 		for _, of := range names {
 			for _, n := range names {
-				assert.Equal(t, views[n].Status(of, now), views[of].Own().Status, "%s about %s", n, of)
+				assert.Equal(t, views[n].Status(of, now), views[of].SelfRumor().Status, "%s about %s", n, of)
 			}
 		}
 	})
@@ -213,14 +215,14 @@
 	now := time.Unix(1000, 0)
 	a, b := NewView(DefaultConfig(), instance("a", 5)), NewView(DefaultConfig(), instance("b", 6))
 	a.SetList(&List{Revision: 1, Instances: []Instance{instance("b", 0)}}, now)
-	a.Hear(b.Own(), now)
-	r, ok := a.Doubt("b", now)
+	a.Apply(b.SelfRumor(), now)
+	r, ok := a.Suspect("b", now)
 	assert.Assert(t, ok)
 	assert.Equal(t, a.Status("b", now), Suspect)
 	assert.Equal(t, a.Status("b", now.Add(DefaultConfig().SuspicionTimeout)), Gone)
-	_, refute := b.Hear(r, now)
+	_, refute := b.Apply(r, now)
 	assert.Assert(t, refute != nil)
-	news, _ := a.Hear(*refute, now)
+	news, _ := a.Apply(*refute, now)
 	assert.Assert(t, news)
 	assert.Equal(t, a.Status("b", now.Add(time.Hour)), Alive)
 }
@@ -232,7 +234,7 @@
 	at := instance("b", 0)
 	v.SetList(&List{Revision: 1, Instances: []Instance{at}}, now)
 	joined := instance("b", 9)
-	v.Hear(Rumor{Name: "b", Incarnation: 9, Instance: &joined}, now)
+	v.Apply(Rumor{Name: "b", Incarnation: 9, Instance: &joined}, now)
 	at.Peer = netip.MustParseAddrPort("127.0.0.2:2")
 	v.SetList(&List{Revision: 2, Instances: []Instance{at}}, now)
 	assert.Equal(t, v.Members(now)[1].Peer, at.Peer)
@@ -241,7 +243,7 @@
 func TestJoinWithoutListEntryEndsAfterGrace(t *testing.T) {
 	now := time.Unix(1000, 0)
 	a, b := NewView(DefaultConfig(), instance("a", 5)), NewView(DefaultConfig(), instance("b", 6))
-	a.Hear(b.Own(), now)
+	a.Apply(b.SelfRumor(), now)
 	assert.Equal(t, a.Status("b", now.Add(DefaultConfig().JoinGrace)), Alive)
 	assert.Equal(t, a.Status("b", now.Add(DefaultConfig().JoinGrace+1)), Gone)
 }
@@ -250,11 +252,11 @@
 	now := time.Unix(1000, 0)
 	v := NewView(DefaultConfig(), instance("a", 1))
 	old := instance("b", 5)
-	old.State = Leaving
+	old.State = ListedLeaving
 	v.SetList(&List{Revision: 1, Instances: []Instance{old}}, now)
-	assert.Equal(t, v.Status("b", now), Departing)
+	assert.Equal(t, v.Status("b", now), Leaving)
 	fresh := instance("b", 9)
-	v.Hear(Rumor{Name: "b", Incarnation: 9, Instance: &fresh}, now)
+	v.Apply(Rumor{Name: "b", Incarnation: 9, Instance: &fresh}, now)
 	assert.Equal(t, v.Status("b", now), Alive)
 	v.SetList(&List{Revision: 2, Instances: []Instance{old}}, now)
 	assert.Equal(t, v.Status("b", now), Alive, "the list still speaks of the earlier process")
@@ -288,8 +290,8 @@
 	centres := make(map[string]bool)
 	for _, m := range members {
 		relays := roster.Readers(m.DataCentre)
-		sources := roster.NewsSources(m.Instance)
-		assert.Equal(t, len(sources), MaxNewsSources)
+		sources := roster.UpdateSources(m.Instance)
+		assert.Equal(t, len(sources), MaxUpdateSources)
 		for _, s := range sources {
 			assert.Assert(t, s != m.Name)
 			if slices.Contains(relays, m.Name) {
@@ -316,7 +318,7 @@
 	r := NewRoster(4, nil)
 	for range 3000 {
 		name := fmt.Sprintf("n%d", rnd.IntN(60))
-		m := Member{Instance: Instance{Name: name, DataCentre: fmt.Sprintf("dc%d", rnd.IntN(4))}, Status: Status(rnd.IntN(4)), Link: uint32(rnd.IntN(3))}
+		m := Member{Instance: Instance{Name: name, DataCentre: fmt.Sprintf("dc%d", rnd.IntN(4))}, Status: Status(rnd.IntN(4)), LinkMbps: uint32(rnd.IntN(3))}
 		if rnd.IntN(5) == 0 {
 			delete(known, name)
 			r.Remove(name)
@@ -327,7 +329,7 @@
 		anew := NewRoster(4, slices.Collect(maps.Values(known)))
 		assert.DeepEqual(t, r.StoreReaders(), anew.StoreReaders())
 		assert.DeepEqual(t, r.ReaderCandidates(), anew.ReaderCandidates())
-		assert.DeepEqual(t, r.NewsSources(m.Instance), anew.NewsSources(m.Instance))
+		assert.DeepEqual(t, r.UpdateSources(m.Instance), anew.UpdateSources(m.Instance))
 		assert.Equal(t, r.Len(), anew.Len())
 	}
 }
--- a/internal/membership/overlay.go
+++ b/internal/membership/overlay.go
@@ -21,9 +21,9 @@
 	candidatesPerSlot = 6
 )
 
-// Slot is one link that a node should hold: to the first of the candidates
+// DesiredLink is one link that a node should hold: to the first of the candidates
 // that can be reached. Same-centre slots have one candidate.
-type Slot struct {
+type DesiredLink struct {
 	Candidates []string
 	Local      bool // inside the data centre
 }
@@ -84,7 +84,7 @@
 // same graph from the same members: a ring and a few chords inside each data
 // centre, linksPerPair links between the data centres of a region and between
 // regions. One member's coming or going changes only the links at it.
-func Overlay(self Instance, members []Member) []Slot {
+func Overlay(self Instance, members []Member) []DesiredLink {
 	t := newTopology(members)
 	slots := localSlots(self, t.centres[self.DataCentre])
 	for _, dc := range t.regions[self.Region] {
@@ -110,20 +110,20 @@
 	return out
 }
 
-func localSlots(self Instance, names []string) []Slot {
+func localSlots(self Instance, names []string) []DesiredLink {
 	ring := rank(self.DataCentre, names)
 	at := slices.Index(ring, self.Name)
 	if at < 0 || len(ring) < 2 {
 		return nil
 	}
 	next := ring[(at+1)%len(ring)]
-	slots := []Slot{{Candidates: []string{next}, Local: true}}
+	slots := []DesiredLink{{Candidates: []string{next}, Local: true}}
 	for _, n := range rank(self.Name, names) {
 		if len(slots) > chordsPerNode {
 			break
 		}
 		if n != self.Name && n != next {
-			slots = append(slots, Slot{Candidates: []string{n}, Local: true})
+			slots = append(slots, DesiredLink{Candidates: []string{n}, Local: true})
 		}
 	}
 	return slots
@@ -131,7 +131,7 @@
 
 // pairSlots gives self's links between the groups a and b. The side with the
 // lesser name dials, so that each link is opened once.
-func pairSlots(self, a, b string, inA, inB []string) []Slot {
+func pairSlots(self, a, b string, inA, inB []string) []DesiredLink {
 	if a > b {
 		return nil
 	}
@@ -145,5 +145,5 @@
 	// Start each link at another partner, then go on to substitutes.
 	start := at % len(theirs)
 	candidates := append(slices.Clone(theirs[start:]), theirs[:start]...)
-	return []Slot{{Candidates: candidates[:min(candidatesPerSlot, len(candidates))]}}
+	return []DesiredLink{{Candidates: candidates[:min(candidatesPerSlot, len(candidates))]}}
 }
--- a/internal/membership/readers.go
+++ b/internal/membership/readers.go
@@ -58,11 +58,11 @@
 		return r.Remove(m.Name)
 	}
 	old, ok := r.nodes[m.Name]
-	if ok && old.centre == m.DataCentre && old.link == m.Link {
+	if ok && old.centre == m.DataCentre && old.link == m.LinkMbps {
 		return false
 	}
 	r.Remove(m.Name)
-	n := rosterNode{name: m.Name, centre: m.DataCentre, link: m.Link, score: score("readers of "+m.DataCentre, m.Name)}
+	n := rosterNode{name: m.Name, centre: m.DataCentre, link: m.LinkMbps, score: score("readers of "+m.DataCentre, m.Name)}
 	at, _ := slices.BinarySearchFunc(r.centres[n.centre], n, rosterNode.before)
 	r.centres[n.centre] = slices.Insert(r.centres[n.centre], at, n)
 	r.nodes[n.name] = n
@@ -149,14 +149,14 @@
 	}
 	others := slices.DeleteFunc(r.StoreReaders(), func(name string) bool { return name == self.Name })
 	others = rank(self.Name, others)
-	return others[:min(MaxNewsSources, len(others))], true
+	return others[:min(MaxUpdateSources, len(others))], true
 }
 
-// NewsSources returns two readers for a node to follow: one of its own data
+// UpdateSources returns two readers for a node to follow: one of its own data
 // centre and one of another, so that no single machine or data centre can keep
 // it from news. Where there is only one data centre, both are of that one.
 // Names in place of instances are enough, as each stands for one instance.
-func (r *Roster) NewsSources(self Instance) []string {
+func (r *Roster) UpdateSources(self Instance) []string {
 	if sources, relay := r.relaySources(self); relay && len(sources) > 0 {
 		return sources
 	}
@@ -172,9 +172,9 @@
 	near, far = rank(self.Name, near), rank(self.Name, far)
 	sources := slices.Concat(near[:min(1, len(near))], far[:min(1, len(far))])
 	rest := slices.Concat(near[min(1, len(near)):], far[min(1, len(far)):])
-	return append(sources, rest[:min(max(MaxNewsSources-len(sources), 0), len(rest))]...)
+	return append(sources, rest[:min(max(MaxUpdateSources-len(sources), 0), len(rest))]...)
 }
 
-// MaxNewsSources is the number of readers that a node follows: with two, one may
+// MaxUpdateSources is the number of readers that a node follows: with two, one may
 // be cut off without a word and changes still come at once.
-const MaxNewsSources = 2
+const MaxUpdateSources = 2
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -15,7 +15,7 @@
 const (
 	Alive Status = iota
 	Suspect
-	Departing // leaves by its own word or the list's; finishes its work
+	Leaving // leaves by its own word or the list's; finishes its work
 	Gone
 )
 
@@ -76,8 +76,8 @@
 	// ColdRate of 0 means any rate.
 	ColdFrom, ColdUntil time.Time
 	ColdRate            float64
-	// Link is the rate of its machine's link in Mbit/s; 0 if it is not known.
-	Link uint32
+	// LinkMbps is the rate of its machine's link in Mbit/s; 0 if it is not known.
+	LinkMbps uint32
 	// Evacuated says that operators want nothing sent to the instance: its data centre
 	// is evacuated. It is no word on the instance itself.
 	Evacuated bool
@@ -149,10 +149,10 @@
 	}
 }
 
-// Hear takes in a rumor and reports whether it was news, to be passed on. If
+// Apply takes in a rumor and reports whether it was news, to be passed on. If
 // the rumor wrongly doubts this instance itself, refute holds the answer to
 // send.
-func (v *View) Hear(r Rumor, now time.Time) (news bool, refute *Rumor) {
+func (v *View) Apply(r Rumor, now time.Time) (news bool, refute *Rumor) {
 	if r.Status > Gone {
 		return false, nil
 	}
@@ -185,44 +185,44 @@
 }
 
 func (v *View) refute(r Rumor) *Rumor {
-	own := v.Own()
+	own := v.SelfRumor()
 	if r.Incarnation < v.inc || !r.supersedes(own) {
 		return nil
 	}
 	v.inc = r.Incarnation + 1
-	own = v.Own()
+	own = v.SelfRumor()
 	return &own
 }
 
-// Own returns the rumor by which this instance announces itself.
-func (v *View) Own() Rumor {
+// SelfRumor returns the rumor by which this instance announces itself.
+func (v *View) SelfRumor() Rumor {
 	inst := v.self
 	r := Rumor{Name: v.self.Name, Incarnation: v.inc, Status: Alive, Instance: &inst}
 	if v.leaving {
-		r.Status = Departing
+		r.Status = Leaving
 	}
 	return r
 }
 
-// Leave marks this instance as leaving, or as staying after all, and returns
+// SetLeaving marks this instance as leaving, or as staying after all, and returns
 // the rumor to send.
-func (v *View) Leave(leaving bool) Rumor {
+func (v *View) SetLeaving(leaving bool) Rumor {
 	if v.leaving && !leaving {
 		v.inc++ // alive replaces leaving only at a higher incarnation
 	}
 	v.leaving = leaving
-	return v.Own()
+	return v.SelfRumor()
 }
 
-// Doubt returns the rumor that the named instance does not answer, or false
+// Suspect returns the rumor that the named instance does not answer, or false
 // if it is unknown or already doubted.
-func (v *View) Doubt(name string, now time.Time) (Rumor, bool) {
+func (v *View) Suspect(name string, now time.Time) (Rumor, bool) {
 	e, ok := v.entries[name]
 	if !ok || name == v.self.Name || v.status(e, now) != Alive {
 		return Rumor{}, false
 	}
 	r := Rumor{Name: name, Incarnation: v.incarnation(e), Status: Suspect}
-	news, _ := v.Hear(r, now)
+	news, _ := v.Apply(r, now)
 	return r, news
 }
 
@@ -244,8 +244,8 @@
 	}
 	// The list says leaving of this very process or an earlier one; a later
 	// process under the same name has announced a higher incarnation.
-	if e.inst.State == Leaving && st < Departing {
-		st = Departing
+	if e.inst.State == ListedLeaving && st < Leaving {
+		st = Leaving
 	}
 	if !e.listed && now.Sub(e.since) > v.cfg.JoinGrace {
 		st = Gone
@@ -257,7 +257,7 @@
 // Gone.
 func (v *View) Status(name string, now time.Time) Status {
 	if name == v.self.Name {
-		return v.Own().Status
+		return v.SelfRumor().Status
 	}
 	e, ok := v.entries[name]
 	if !ok {
@@ -276,8 +276,8 @@
 	return out
 }
 
-// Doubts returns the rumors that differ from Alive, which a new link is told.
-func (v *View) Doubts() []Rumor {
+// NonAliveRumors returns the rumors that differ from Alive, which a new link is told.
+func (v *View) NonAliveRumors() []Rumor {
 	var out []Rumor
 	for _, name := range slices.Sorted(maps.Keys(v.entries)) {
 		e := v.entries[name]
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -17,11 +17,11 @@
 	Node  distribution.NodeStatus `json:"node"`
 	Ready bool                    `json:"ready"`
 	// SinceMicros is when the table came into force, in microseconds since 1970.
-	SinceMicros int64             `json:"in_force_since_us"`
-	Load        admission.Load    `json:"load"`
-	Wire        distribution.Wire `json:"control_wire_bytes"`
-	Connections int               `json:"request_connections"`
-	Goroutines  int               `json:"goroutines"`
+	SinceMicros int64                    `json:"in_force_since_us"`
+	Load        admission.Load           `json:"load"`
+	Wire        distribution.WireTraffic `json:"control_wire_bytes"`
+	Connections int                      `json:"request_connections"`
+	Goroutines  int                      `json:"goroutines"`
 	// Findings of the newest refused table.
 	Findings string `json:"findings,omitempty"`
 }
@@ -75,7 +75,7 @@
 }
 
 func (n *Node) getFleet(c echo.Context) error {
-	nodes, err := n.service.Survey(c.Request().Context())
+	nodes, err := n.service.QueryStatus(c.Request().Context())
 	if err != nil {
 		return echo.NewHTTPError(http.StatusServiceUnavailable, err.Error())
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -100,7 +100,7 @@
 		DataCentre: n.cfg.DataCentre,
 		Region:     n.cfg.Region,
 		Peer:       netip.AddrPortFrom(n.cfg.Peers.Addr(), n.endpoint.Addr().Port()),
-		State:      membership.Live,
+		State:      membership.ListedLive,
 		Generation: uint64(n.started.UnixMilli()),
 	}
 }
@@ -190,7 +190,7 @@
 
 // Survey asks all nodes for their status.
 func (n *Node) Survey(ctx context.Context) ([]distribution.NodeStatus, error) {
-	return n.service.Survey(ctx)
+	return n.service.QueryStatus(ctx)
 }
 
 func (n *Node) closeListeners() {
--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -93,7 +93,7 @@
 func (n *Node) drain() {
 	n.leaving.Store(true)
 	n.log.Info("leaving", "timeout", n.cfg.DrainTimeout)
-	n.service.Leave(true)
+	n.service.SetLeaving(true)
 	time.Sleep(n.cfg.DrainAnnounce)
 	n.backend.SetDraining(true)
 	ctx, cancel := context.WithTimeout(context.Background(), n.cfg.DrainTimeout)
@@ -157,7 +157,7 @@
 		was = draining
 		n.log.Info("upstream health", "draining", draining)
 		n.backend.SetDraining(draining)
-		n.service.Leave(draining)
+		n.service.SetLeaving(draining)
 	}
 }
 
--- a/internal/overload/habit.go
+++ b/internal/overload/habit.go
@@ -34,7 +34,7 @@
 
 // habit returns the counts of a route; those of routes beyond the bound are not
 // kept.
-func (r *Returns) habit(route string) *habit {
+func (r *RefusedRequests) habit(route string) *habit {
 	h, ok := r.habits[route]
 	if !ok {
 		h = &habit{}
@@ -45,7 +45,7 @@
 	return h
 }
 
-// OneShot reports whether the refused requests of a route do not come back: those
+// RefusalIsFinal reports whether the refused requests of a route do not come back: those
 // that a running request makes, whose refusal fails that request, and those of
 // callers with one attempt. A refusal of such a one is final, so it may wait as
 // long as it has, in place of as long as its objective.
@@ -53,7 +53,7 @@
 // The load pattern: links full of long answers, and upstreams that shed, make
 // calls miss their objective, and each that is refused wastes the run of its
 // parent.
-func (r *Returns) OneShot(route string) bool {
+func (r *RefusedRequests) RefusalIsFinal(route string) bool {
 	h, ok := r.habits[route]
 	return ok && h.back+h.stayed >= habitMin && h.back < oneShotShare*(h.back+h.stayed)
 }
--- a/internal/overload/overload_test.go
+++ b/internal/overload/overload_test.go
@@ -19,7 +19,7 @@
 		first, expiry time.Time
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		r := NewReturns()
+		r := NewRefusedRequests()
 		at := time.Unix(1000, 0)
 		var refused []known
 		id := func(t *rapid.T) Identity {
@@ -46,7 +46,7 @@
 				if near(k.id, k.expiry, 4*expirySlack) {
 					t.Skip("not told from another one")
 				}
-				r.Refused(at, "r", k.id, k.first, k.expiry)
+				r.Add(at, "r", k.id, k.first, k.expiry)
 				refused = append(refused, k)
 			},
 			"new": func(t *rapid.T) {
@@ -54,7 +54,7 @@
 				if near(i, expiry, expirySlack) {
 					t.Skip("a return")
 				}
-				assert.Equal(t, r.First(at, i, expiry), at)
+				assert.Equal(t, r.FirstAttempt(at, i, expiry), at)
 			},
 			"return": func(t *rapid.T) {
 				if len(refused) == 0 {
@@ -64,7 +64,7 @@
 				if at.After(k.expiry) {
 					t.Skip("expired")
 				}
-				assert.Equal(t, r.First(at, k.id, k.expiry.Add(ms(t, 20)-expirySlack)), k.first)
+				assert.Equal(t, r.FirstAttempt(at, k.id, k.expiry.Add(ms(t, 20)-expirySlack)), k.first)
 			},
 			"time": func(t *rapid.T) { at = at.Add(ms(t, 300)) },
 		})
@@ -73,23 +73,23 @@
 
 // A caller with a short deadline is not taken for one that comes late.
 func TestShortDeadlineIsNew(t *testing.T) {
-	r := NewReturns()
+	r := NewRefusedRequests()
 	at := time.Unix(1000, 0)
 	id := Identity{Host: "h", Method: "GET", Target: "/probe"}
-	r.Refused(at, "r", id, at.Add(-100*time.Millisecond), at.Add(1200*time.Millisecond))
-	assert.Equal(t, r.First(at, id, at.Add(200*time.Millisecond)), at)
+	r.Add(at, "r", id, at.Add(-100*time.Millisecond), at.Add(1200*time.Millisecond))
+	assert.Equal(t, r.FirstAttempt(at, id, at.Add(200*time.Millisecond)), at)
 }
 
 // However many are refused, the memory is bounded, and expired ones make room.
 func TestReturnsAreBounded(t *testing.T) {
-	r := NewReturns()
+	r := NewRefusedRequests()
 	at := time.Unix(1000, 0)
 	for i := range 2 * maxReturns {
-		r.Refused(at, "r", Identity{Target: string(rune(i))}, at, at.Add(time.Second))
+		r.Add(at, "r", Identity{Target: string(rune(i))}, at, at.Add(time.Second))
 	}
 	assert.Equal(t, len(r.refused), maxReturns)
 	later := at.Add(2 * time.Second)
-	r.Refused(later, "r", Identity{Target: "later"}, later, later.Add(time.Second))
+	r.Add(later, "r", Identity{Target: "later"}, later, later.Add(time.Second))
 	assert.Equal(t, len(r.refused), 1)
 }
 
@@ -104,11 +104,11 @@
 		r.Observe("k", time.Duration(took*float64(time.Second)))
 	}
 	slices.Sort(last)
-	for _, q := range []float64{TypicalRun, SafeRun} {
+	for _, q := range []float64{TypicalRunQuantile, SafeRunQuantile} {
 		got, want := r.Quantile("k", q).Seconds(), last[int(q*float64(len(last)))]
 		assert.Assert(t, got > want/1.4 && got < want*1.4, "%v: %v, of all %v", q, got, want)
 	}
-	assert.Equal(t, r.Quantile("other", SafeRun), time.Duration(0))
+	assert.Equal(t, r.Quantile("other", SafeRunQuantile), time.Duration(0))
 }
 
 // A quantile rests on no more requests than are remembered.
@@ -132,11 +132,11 @@
 	for range 2 * runMemory {
 		r.Observe("k", 100*time.Millisecond)
 	}
-	assert.Assert(t, r.Quantile("k", TypicalRun) > 80*time.Millisecond)
+	assert.Assert(t, r.Quantile("k", TypicalRunQuantile) > 80*time.Millisecond)
 	for range leastRuns - 1 {
 		r.Observe("few", time.Second)
 	}
-	assert.Equal(t, r.Quantile("few", SafeRun), time.Duration(0))
+	assert.Equal(t, r.Quantile("few", SafeRunQuantile), time.Duration(0))
 }
 
 // What waits is refused while it could still be in time elsewhere, and what
@@ -154,33 +154,33 @@
 		{"late", 200 * ms, 50 * ms, 8 * ms, true, 16 * ms},
 		{"nothing known", 200 * ms, 0, 0, false, 200 * ms},
 	} {
-		assert.Equal(t, Patience(c.left, c.safe, c.slotEvery, c.late), c.want, c.name)
+		assert.Equal(t, MaxWait(c.left, c.safe, c.slotEvery, c.late), c.want, c.name)
 	}
 }
 
 // Requests whose callers do not come back are known by that, and others are not
 // taken for them however many of theirs are on their last attempt.
 func TestOneShot(t *testing.T) {
-	r := NewReturns()
+	r := NewRefusedRequests()
 	at := time.Unix(1000, 0)
 	for i := range 40 {
 		call, own := Identity{Target: "call" + string(rune(i))}, Identity{Target: "own" + string(rune(i))}
 		expiry := at.Add(200 * time.Millisecond)
-		assert.Assert(t, i > habitMin/2 || !r.OneShot("call"), "known after %d", i)
-		r.Refused(at, "call", call, at, expiry)
+		assert.Assert(t, i > habitMin/2 || !r.RefusalIsFinal("call"), "known after %d", i)
+		r.Add(at, "call", call, at, expiry)
 		first := at
 		for range 2 {
-			r.Refused(at, "own", own, first, expiry)
+			r.Add(at, "own", own, first, expiry)
 			at = at.Add(10 * time.Millisecond)
-			assert.Equal(t, r.First(at, own, expiry), first)
+			assert.Equal(t, r.FirstAttempt(at, own, expiry), first)
 		}
-		r.Refused(at, "own", own, first, expiry) // the last attempt
+		r.Add(at, "own", own, first, expiry) // the last attempt
 		if i%4 == 0 {
-			r.Refused(at, "own", Identity{Target: "left" + string(rune(i))}, at, expiry) // its caller has left
+			r.Add(at, "own", Identity{Target: "left" + string(rune(i))}, at, expiry) // its caller has left
 		}
 		at = at.Add(time.Second)
 	}
-	assert.Assert(t, r.OneShot("call"))
-	assert.Assert(t, !r.OneShot("own"))
-	assert.Assert(t, !r.OneShot("never refused"))
+	assert.Assert(t, r.RefusalIsFinal("call"))
+	assert.Assert(t, !r.RefusalIsFinal("own"))
+	assert.Assert(t, !r.RefusalIsFinal("never refused"))
 }
--- a/internal/overload/replay_test.go
+++ b/internal/overload/replay_test.go
@@ -48,7 +48,7 @@
 	rnd     *rand.Rand
 	queue   *admission.Queue
 	runs    *RunTimes
-	returns *Returns
+	returns *RefusedRequests
 	waiting map[*admission.Ticket]*caller
 
 	offered, inTime, late, refused int
@@ -74,7 +74,7 @@
 		rnd:     rand.New(rand.NewPCG(seed, 1)),
 		queue:   admission.NewQueue(admission.Config{Slots: replaySlots, QueueLimit: 2 * replaySlots}),
 		runs:    NewRunTimes(),
-		returns: NewReturns(),
+		returns: NewRefusedRequests(),
 		waiting: make(map[*admission.Ticket]*caller),
 	}
 }
@@ -104,13 +104,13 @@
 func (r *replay) arrive(c *caller) {
 	first := r.now
 	if r.policy.returns {
-		first = r.returns.First(r.now, c.id, c.expiry)
+		first = r.returns.FirstAttempt(r.now, c.id, c.expiry)
 	}
 	left := replayObjective - 2*replayWay - r.now.Sub(first)
 	late, patience := false, max(time.Duration(fixedShare*float64(replayObjective)), fixedLeast)
 	if r.policy.predicts {
-		late = Late(first.Before(r.now), left, r.runs.Quantile("k", TypicalRun))
-		patience = Patience(left, r.runs.Quantile("k", SafeRun), r.queue.ServiceTime()/replaySlots, late)
+		late = Late(first.Before(r.now), left, r.runs.Quantile("k", TypicalRunQuantile))
+		patience = MaxWait(left, r.runs.Quantile("k", SafeRunQuantile), r.queue.ServiceTime()/replaySlots, late)
 	}
 	t := &admission.Ticket{Kind: QueueKind("k", late), Weight: Weight(0, replayObjective, late), Deadline: c.expiry, Latest: r.now.Add(patience)}
 	v, displaced := r.queue.Offer(r.now, t)
@@ -161,7 +161,7 @@
 func (r *replay) refuse(t *admission.Ticket, v admission.Verdict) {
 	c := r.waiting[t]
 	delete(r.waiting, t)
-	r.returns.Refused(r.now, "r", c.id, c.first, c.expiry)
+	r.returns.Add(r.now, "r", c.id, c.first, c.expiry)
 	left := c.expiry.Sub(r.now)
 	if c.retries == 0 || left <= 0 {
 		r.refused++
--- a/internal/overload/returns.go
+++ b/internal/overload/returns.go
@@ -20,7 +20,7 @@
 	maxReturns = 4096
 )
 
-// Returns remembers refused requests until they expire, so that one that comes
+// RefusedRequests remembers refused requests until they expire, so that one that comes
 // back is known with the time of its first attempt. It is not safe for
 // concurrent use.
 //
@@ -29,7 +29,7 @@
 // new ones, the returns get slots that can no longer help them, fresh requests
 // are refused in their place and come back too, and the crowd outlives the burst
 // that made it.
-type Returns struct {
+type RefusedRequests struct {
 	refused map[refusalKey]refusal
 	habits  map[string]*habit // by route
 	swept   time.Time
@@ -56,14 +56,14 @@
 	back   bool      // it came back
 }
 
-// NewReturns returns an empty memory.
-func NewReturns() *Returns {
-	return &Returns{refused: make(map[refusalKey]refusal), habits: make(map[string]*habit)}
+// NewRefusedRequests returns an empty memory.
+func NewRefusedRequests() *RefusedRequests {
+	return &RefusedRequests{refused: make(map[refusalKey]refusal), habits: make(map[string]*habit)}
 }
 
-// First returns when the request first came: an earlier time if it is the
+// FirstAttempt returns when the request first came: an earlier time if it is the
 // return of a refused one, otherwise now.
-func (r *Returns) First(now time.Time, id Identity, expiry time.Time) time.Time {
+func (r *RefusedRequests) FirstAttempt(now time.Time, id Identity, expiry time.Time) time.Time {
 	first := now
 	for _, at := range [...]time.Time{expiry.Add(-expirySlack), expiry.Add(expirySlack)} {
 		key := keyOf(id, at)
@@ -80,7 +80,7 @@
 }
 
 // cameBack notes the first return of a refused request.
-func (r *Returns) cameBack(key refusalKey, known refusal) {
+func (r *RefusedRequests) cameBack(key refusalKey, known refusal) {
 	if known.back {
 		return
 	}
@@ -89,8 +89,8 @@
 	r.habit(known.route).note(true)
 }
 
-// Refused remembers a request of a route that its caller may send again.
-func (r *Returns) Refused(now time.Time, route string, id Identity, first, expiry time.Time) {
+// Add remembers a request of a route that its caller may send again.
+func (r *RefusedRequests) Add(now time.Time, route string, id Identity, first, expiry time.Time) {
 	if now.Sub(r.swept) > sweepEvery {
 		r.sweep(now)
 	}
@@ -106,7 +106,7 @@
 // sweepEvery is the time between two removals of expired requests.
 const sweepEvery = time.Second
 
-func (r *Returns) sweep(now time.Time) {
+func (r *RefusedRequests) sweep(now time.Time) {
 	r.swept = now
 	for at, known := range r.refused {
 		if now.Sub(known.expiry) > expirySlack {
--- a/internal/overload/sizes.go
+++ b/internal/overload/sizes.go
@@ -1,17 +1,17 @@
 package overload
 
-// Sizes remembers the mean length of the answers of each kind. It is not safe
+// ResponseSizes remembers the mean length of the answers of each kind. It is not safe
 // for concurrent use.
-type Sizes struct{ means map[string]float64 }
+type ResponseSizes struct{ means map[string]float64 }
 
 // sizeSmoothing is the weight of the newest length.
 const sizeSmoothing = 0.1
 
-// NewSizes returns an empty memory.
-func NewSizes() *Sizes { return &Sizes{means: make(map[string]float64)} }
+// NewResponseSizes returns an empty memory.
+func NewResponseSizes() *ResponseSizes { return &ResponseSizes{means: make(map[string]float64)} }
 
 // Observe takes in the length of one answer, in bytes.
-func (s *Sizes) Observe(kind string, length int64) {
+func (s *ResponseSizes) Observe(kind string, length int64) {
 	mean, ok := s.means[kind]
 	switch {
 	case ok:
@@ -22,4 +22,4 @@
 }
 
 // Mean is the mean length of the answers of a kind, in bytes; 0 if none is known.
-func (s *Sizes) Mean(kind string) float64 { return s.means[kind] }
+func (s *ResponseSizes) Mean(kind string) float64 { return s.means[kind] }
--- a/internal/proxy/aim.go
+++ b/internal/proxy/aim.go
@@ -46,10 +46,10 @@
 func (x *exchange) place(c routing.Candidate) {
 	x.env.KindWeight = x.route.KindWeight * overload.Weight(x.priority, x.route.Objective, c.Late)
 	if !x.aim.IsZero() {
-		x.env.Aim = &Aim{Left: c.Left, Late: c.Late}
+		x.env.Objective = &ObjectiveState{Left: c.TimeLeft, Late: c.Late}
 	}
 }
 
 // hopeless reports whether even the best upstream is known to have so many
 // waiting that the request would be refused there.
-func hopeless(c routing.Candidate) bool { return c.Patience > 0 && c.Wait > c.Patience }
+func hopeless(c routing.Candidate) bool { return c.MaxWait > 0 && c.Wait > c.MaxWait }
--- a/internal/proxy/backend.go
+++ b/internal/proxy/backend.go
@@ -33,35 +33,35 @@
 	Dialect Dialect
 	// Transport calls the upstream; nil means net/http with a pool.
 	Transport http.RoundTripper
-	// Reached is called with each request to the upstream: whether a connection to it
+	// OnConnect is called with each request to the upstream: whether a connection to it
 	// could be made. Nil for none.
-	Reached func(ok bool)
-	// Refuses reports whether the upstream refuses connections now, as it does when its
+	OnConnect func(ok bool)
+	// RefusesConnections reports whether the upstream refuses connections now, as it does when its
 	// process has ended; it is asked when the connection of a request broke. Nil: falls
 	// of the upstream are not noticed.
-	Refuses func() bool
-	// Fell is told of a fall of the upstream under requests, more than once if more is
+	RefusesConnections func() bool
+	// OnCrash is told of a fall of the upstream under requests, more than once if more is
 	// learnt of it. Nil for none.
-	Fell func(Fall)
+	OnCrash func(Crash)
 	// Quarantine holds requests back that end upstreams. Default: none are.
 	Quarantine Quarantine
-	// WholeAnswers is as in FrontendConfig.
-	WholeAnswers int64
-	// Receivers is the number of bodies that are received from other nodes at
+	// ResponseBufferLimit is as in FrontendConfig.
+	ResponseBufferLimit int64
+	// MaxReceives is the number of bodies that are received from other nodes at
 	// once, each before its request takes a slot. More fills a long link, fewer
 	// leaves a narrow one free for short requests. Default 0: bodies go on to the
 	// upstream as they come.
-	Receivers int
-	// ReceiveLimit is the longest body received so, in bytes.
-	ReceiveLimit int64
-	// Senders is the number of long answers that are sent to other nodes at once,
+	MaxReceives int
+	// MaxReceivedBody is the longest body received so, in bytes.
+	MaxReceivedBody int64
+	// MaxSends is the number of long answers that are sent to other nodes at once,
 	// each after its request gave its slot back. More fills a long link, fewer
 	// leaves a narrow one free for short answers. Default 0: no bound.
-	Senders int
-	// AnswerLimit is the longest answer kept for its turn, in bytes, and
-	// AnswerTotal the sum of all that are kept, from which on longer ones than
+	MaxSends int
+	// SendBufferLimit is the longest answer kept for its turn, in bytes, and
+	// SendBufferTotal the sum of all that are kept, from which on longer ones than
 	// WholeAnswers stream.
-	AnswerLimit, AnswerTotal int64
+	SendBufferLimit, SendBufferTotal int64
 }
 
 // Backend admits work for the upstream beside it and calls it. It implements
@@ -86,10 +86,10 @@
 
 	mu      sync.Mutex // guards what follows
 	runs    *overload.RunTimes
-	sizes   *overload.Sizes
+	sizes   *overload.ResponseSizes
 	limits  *admission.Limits
 	ledger  *ledger.Ledger
-	history *ledger.History
+	history *ledger.OwnerHistory
 }
 
 // Claimer asks the node beside an earlier home of a key about it.
@@ -127,24 +127,24 @@
 		metrics: m,
 		claims:  claims,
 		runs:    overload.NewRunTimes(),
-		sizes:   overload.NewSizes(),
+		sizes:   overload.NewResponseSizes(),
 		limits:  admission.NewLimits(),
 		ledger:  ledger.New(cfg.Ledger, now),
-		history: ledger.NewHistory(cfg.Ledger),
-		falls:   newFallWatch(cfg.Refuses, cfg.Fell),
+		history: ledger.NewOwnerHistory(cfg.Ledger),
+		falls:   newFallWatch(cfg.RefusesConnections, cfg.OnCrash),
 	}
 	b.life.Store(newLife())
-	if cfg.Reached == nil {
-		b.cfg.Reached = func(bool) {}
+	if cfg.OnConnect == nil {
+		b.cfg.OnConnect = func(bool) {}
 	}
 	if cfg.Quarantine == nil {
 		b.cfg.Quarantine = noQuarantine{}
 	}
-	if cfg.Receivers > 0 {
-		b.receiver = newTurns(cfg.Receivers)
+	if cfg.MaxReceives > 0 {
+		b.receiver = newTurns(cfg.MaxReceives)
 	}
-	if cfg.Senders > 0 {
-		b.sender = newTurns(cfg.Senders)
+	if cfg.MaxSends > 0 {
+		b.sender = newTurns(cfg.MaxSends)
 	}
 	return b
 }
@@ -166,13 +166,13 @@
 }
 
 // limitRow collects what the table says about an upstream and its service.
-func limitRow(snap *snapshot.Snapshot, name string) (admission.Row, bool) {
+func limitRow(snap *snapshot.Snapshot, name string) (admission.RowLimits, bool) {
 	u := snap.Upstream(name)
 	if u == nil {
-		return admission.Row{}, false
+		return admission.RowLimits{}, false
 	}
 	svc := snap.Service(u.Service)
-	row := admission.Row{
+	row := admission.RowLimits{
 		ServiceRate:        svc.Rate,
 		ServiceConcurrency: svc.Concurrency,
 		UpstreamRate:       u.Rate,
@@ -194,14 +194,14 @@
 // SetDraining refuses further work, or takes it again.
 func (b *Backend) SetDraining(on bool) { b.gate.SetDraining(on) }
 
-// Dismiss refuses further work and what waits for a slot, as the upstream leaves or is
+// RefuseAll refuses further work and what waits for a slot, as the upstream leaves or is
 // to get nothing: a request that waits up to its objective would reach it after all
 // others know of it.
-func (b *Backend) Dismiss(why admission.Reason) { b.gate.Dismiss(why) }
+func (b *Backend) RefuseAll(why admission.Reason) { b.gate.RefuseAll(why) }
 
-// HeldBack says why the upstream gets no work now, or less; empty if nothing holds it
+// Restriction says why the upstream gets no work now, or less; empty if nothing holds it
 // back.
-func (b *Backend) HeldBack() string {
+func (b *Backend) Restriction() string {
 	if closed := b.gate.Closed(); closed != admission.ReasonNone {
 		return string(closed)
 	}
@@ -222,8 +222,8 @@
 // while it still takes work.
 func (b *Backend) SetLeaving(on bool) { b.leaving.Store(on) }
 
-// SetEnd says that this node leaves and cuts at a time what is not answered by then.
-func (b *Backend) SetEnd(end time.Time) { b.end.Store(&end) }
+// SetShutdownDeadline says that this node leaves and cuts at a time what is not answered by then.
+func (b *Backend) SetShutdownDeadline(end time.Time) { b.end.Store(&end) }
 
 // InFlight returns the requests admitted and not yet ended.
 func (b *Backend) InFlight() int64 { return b.inflight.Load() }
@@ -291,7 +291,7 @@
 		text = strconv.AppendInt(append(text, "/"+toldCold...), f.Cold.Milliseconds()+1, 10)
 	}
 	h.Set(headerLoad, string(text))
-	typical, safe := b.runTime(env.Kind, overload.TypicalRun), b.runTime(env.Kind, overload.SafeRun)
+	typical, safe := b.runTime(env.Kind, overload.TypicalRunQuantile), b.runTime(env.Kind, overload.SafeRunQuantile)
 	h.Set(headerRuns, strconv.FormatInt(typical.Microseconds(), 10)+"/"+strconv.FormatInt(safe.Microseconds(), 10))
 	setIf(h, HeaderServedBy, b.cfg.Name)
 }
@@ -306,9 +306,9 @@
 
 // patience is how long a request may wait for a slot; false if any time.
 func (b *Backend) patience(env Envelope) (time.Duration, bool) {
-	if env.Aim == nil {
+	if env.Objective == nil {
 		return 0, false
 	}
-	safe := b.runTime(env.Kind, overload.SafeRun)
-	return overload.Patience(env.Aim.Left, safe, b.gate.SlotEvery(), env.Aim.Late), true
+	safe := b.runTime(env.Kind, overload.SafeRunQuantile)
+	return overload.MaxWait(env.Objective.Left, safe, b.gate.SlotInterval(), env.Objective.Late), true
 }
--- a/internal/proxy/backend_call.go
+++ b/internal/proxy/backend_call.go
@@ -60,7 +60,7 @@
 	resp, problem := c.dispatch(ctx, cancel)
 	if problem != nil {
 		c.leave(false)
-		outcome := ledger.Lost
+		outcome := ledger.OutcomeUnknown
 		if problem.class.NotRun() {
 			outcome = ledger.NotRun
 		}
@@ -96,7 +96,7 @@
 		// A body that is here is not sent again elsewhere for a short wait.
 		ticket.Latest = latest(c.start, c.received).Add(patience)
 	}
-	v := b.gate.Enter(ctx, ticket)
+	v := b.gate.Acquire(ctx, ticket)
 	b.metrics.queued(c.env.Kind, clock.Since(c.start))
 	if !v.Started {
 		b.limitDone()
@@ -105,7 +105,7 @@
 	c.started = clock.Now()
 	// The process may have been paused between the grant and now, and the sender may
 	// have gone meanwhile.
-	if !c.started.Before(c.start.Add(c.env.Timeout)) || http1.CallerLeft(ctx) {
+	if !c.started.Before(c.start.Add(c.env.Timeout)) || http1.CallerDisconnected(ctx) {
 		c.leave(false)
 		return notRun(http.StatusServiceUnavailable, retry.Refused, reasonDeadline, defaultRetryAfter)
 	}
@@ -157,12 +157,12 @@
 		c.b.runs.Observe(c.env.Kind, held)
 	}
 	c.b.mu.Unlock()
-	c.b.gate.Leave(held)
+	c.b.gate.Release(held)
 }
 
 // announce tells a sender that holds back its body to send it.
 func (c *backendCall) announce() {
-	if f, ok := c.req.Context().Value(admittedHook{}).(func()); ok && c.env.Await {
+	if f, ok := c.req.Context().Value(admittedHook{}).(func()); ok && c.env.AwaitsAdmission {
 		f()
 	}
 }
--- a/internal/proxy/backend_leaving_test.go
+++ b/internal/proxy/backend_leaving_test.go
@@ -33,17 +33,17 @@
 		for range 10 {
 			send()
 		}
-		b.SetEnd(time.Now().Add(takes / 2))
+		b.SetShutdownDeadline(time.Now().Add(takes / 2))
 		before := ran
 		status, reason, took := send()
 		assert.Equal(t, status, http.StatusServiceUnavailable)
 		assert.Equal(t, reason, string(admission.ReasonDraining))
 		assert.Assert(t, took == 0 && ran == before)
-		b.SetEnd(time.Now().Add(2 * takes))
+		b.SetShutdownDeadline(time.Now().Add(2 * takes))
 		status, _, _ = send()
 		assert.Equal(t, status, http.StatusOK)
 		// One more waits for the slot of the first, and would end too late.
-		b.SetEnd(time.Now().Add(3 * takes / 2))
+		b.SetShutdownDeadline(time.Now().Add(3 * takes / 2))
 		go send()
 		synctest.Wait()
 		status, _, took = send()
--- a/internal/proxy/choice.go
+++ b/internal/proxy/choice.go
@@ -66,7 +66,7 @@
 func (f *Frontend) heard(name string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.router.Heard(clock.Now(), name)
+	f.router.ResponseStarted(clock.Now(), name)
 }
 
 func (f *Frontend) ended(name string, o routing.Outcome) {
@@ -88,14 +88,14 @@
 func (f *Frontend) earn(service string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.budget(service).Earn()
-	f.spare.Earn()
+	f.budget(service).Deposit()
+	f.spare.Deposit()
 }
 
 func (f *Frontend) takeSpare() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.spare.Take()
+	return f.spare.Withdraw()
 }
 
 func (f *Frontend) returnSpare() {
@@ -108,20 +108,20 @@
 func (f *Frontend) firstAttempt(now time.Time, route string, id overload.Identity, expiry time.Time) (time.Time, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.returns.First(now, id, expiry), f.returns.OneShot(route)
+	return f.returns.FirstAttempt(now, id, expiry), f.returns.RefusalIsFinal(route)
 }
 
 // refused remembers a request that its caller may send again.
 func (f *Frontend) refused(route string, id overload.Identity, first, expiry time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.returns.Refused(clock.Now(), route, id, first, expiry)
+	f.returns.Add(clock.Now(), route, id, first, expiry)
 }
 
 func (f *Frontend) again(service string, t retry.Try) retry.Reason {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.budget(service).Again(t)
+	return f.budget(service).Decide(t)
 }
 
 // Prune forgets the evidence about instances that are no more.
@@ -145,24 +145,24 @@
 }
 
 // readRuns reads how long requests of the kind run, zero if nothing was said.
-func readRuns(h http.Header) routing.Runs {
+func readRuns(h http.Header) routing.RunTimes {
 	typical, safe, _ := strings.Cut(h.Get(headerRuns), "/")
 	t, err := strconv.ParseInt(typical, 10, 64)
 	if err != nil {
-		return routing.Runs{}
+		return routing.RunTimes{}
 	}
 	s, err := strconv.ParseInt(safe, 10, 64)
 	if err != nil {
-		return routing.Runs{}
+		return routing.RunTimes{}
 	}
-	return routing.Runs{Typical: time.Duration(t) * time.Microsecond, Safe: time.Duration(s) * time.Microsecond}
+	return routing.RunTimes{Typical: time.Duration(t) * time.Microsecond, Safe: time.Duration(s) * time.Microsecond}
 }
 
 // readLoad reads what an admitting node said of its load, nil if nothing:
 // "in use/slots/waiting/service time/expected wait", times in microseconds, then
 // "/draining" if it takes no more, and "/cold:" with the milliseconds for which the
 // upstream stays cold. Nodes pass over words that they do not know.
-func readLoad(h http.Header) *routing.Told {
+func readLoad(h http.Header) *routing.LoadReport {
 	parts := strings.Split(h.Get(headerLoad), "/")
 	var n [5]int
 	if len(parts) < len(n) {
@@ -175,7 +175,7 @@
 		}
 		n[i] = v
 	}
-	told := &routing.Told{
+	told := &routing.LoadReport{
 		Runs:    readRuns(h),
 		InUse:   n[0],
 		Slots:   n[1],
