--- a/internal/proxy/claim.go
+++ b/internal/proxy/claim.go
@@ -53,7 +53,7 @@
 		return
 	}
 	v := c.b.Claim(ledger.Key{Service: q.Service, Tenant: q.Tenant, Value: q.Key}, ledger.Fence{Home: q.Home, Version: q.Version})
-	out := claimReply{Decision: v.Decision, Ask: v.Ask}
+	out := claimReply{Decision: v.Decision, Ask: v.AlsoClaimFrom}
 	if v.Answer != nil {
 		out.Status, out.Header, out.Body, out.Kept = v.Answer.Status, v.Answer.Header, v.Answer.Body, v.Answer.Kept
 	}
@@ -80,7 +80,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
-	way, err := p.Dispatch.To(ctx, m.Instance)
+	way, err := p.Dispatch.TransportTo(ctx, m.Instance)
 	if err != nil {
 		return ledger.Verdict{}, err
 	}
@@ -115,7 +115,7 @@
 	if err := cbor.Unmarshal(raw, &r); err != nil {
 		return ledger.Verdict{}, err
 	}
-	v := ledger.Verdict{Decision: r.Decision, Ask: r.Ask}
+	v := ledger.Verdict{Decision: r.Decision, AlsoClaimFrom: r.Ask}
 	if r.Status != 0 {
 		v.Answer = &ledger.Answer{Status: r.Status, Header: r.Header, Body: r.Body, Kept: r.Kept}
 	}
--- a/internal/proxy/customer_test.go
+++ b/internal/proxy/customer_test.go
@@ -37,7 +37,7 @@
 // wayTo is the way to every instance.
 type wayTo struct{ http.RoundTripper }
 
-func (w wayTo) To(context.Context, membership.Instance) (http.RoundTripper, error) {
+func (w wayTo) TransportTo(context.Context, membership.Instance) (http.RoundTripper, error) {
 	return w.RoundTripper, nil
 }
 
--- a/internal/proxy/cut.go
+++ b/internal/proxy/cut.go
@@ -12,10 +12,10 @@
 
 // The reasons.
 const (
-	CutCallerLeft CutReason = "caller-left" // its connection takes no more
-	CutDeadline   CutReason = "deadline"    // the time of the request was over
-	CutNodeEnds   CutReason = "node-ends"   // this node ends what is in progress
-	CutHopLost    CutReason = "hop-lost"    // the way to the upstream, or the upstream, broke off
+	CutCallerDisconnected CutReason = "caller-left" // its connection takes no more
+	CutDeadline           CutReason = "deadline"    // the time of the request was over
+	CutNodeShutdown       CutReason = "node-ends"   // this node ends what is in progress
+	CutConnectionLost     CutReason = "hop-lost"    // the way to the upstream, or the upstream, broke off
 )
 
 // CutRecord tells what was known when an answer broke off.
@@ -45,11 +45,11 @@
 func (x *exchange) cutReason(err error) CutReason {
 	switch {
 	case errors.Is(err, errCallerLeft) || x.req.Context().Err() != nil:
-		return CutCallerLeft
+		return CutCallerDisconnected
 	case x.f.ending.Err() != nil:
-		return CutNodeEnds
+		return CutNodeShutdown
 	case errors.Is(err, context.DeadlineExceeded):
 		return CutDeadline
 	}
-	return CutHopLost
+	return CutConnectionLost
 }
--- a/internal/proxy/cut_test.go
+++ b/internal/proxy/cut_test.go
@@ -45,19 +45,19 @@
 		full  bool
 		sent  int64
 	}{
-		CutHopLost:  {fault: func(*Frontend, context.CancelFunc) error { return io.ErrUnexpectedEOF }, sent: passedOn},
-		CutDeadline: {fault: func(*Frontend, context.CancelFunc) error { return errors.Wrap(context.DeadlineExceeded, "read") }, sent: passedOn},
-		CutNodeEnds: {fault: func(f *Frontend, _ context.CancelFunc) error {
-			f.SetLeaving(announcedUntil(time.Now()))
-			f.EndAll()
+		CutConnectionLost: {fault: func(*Frontend, context.CancelFunc) error { return io.ErrUnexpectedEOF }, sent: passedOn},
+		CutDeadline:       {fault: func(*Frontend, context.CancelFunc) error { return errors.Wrap(context.DeadlineExceeded, "read") }, sent: passedOn},
+		CutNodeShutdown: {fault: func(f *Frontend, _ context.CancelFunc) error {
+			f.BeginShutdown(announcedUntil(time.Now()))
+			f.CancelAll()
 			return context.Canceled
 		}, sent: passedOn},
-		CutCallerLeft:  {fault: func(_ *Frontend, leave context.CancelFunc) error { leave(); return context.Canceled }, sent: passedOn},
-		"caller-left ": {fault: func(*Frontend, context.CancelFunc) error { return io.EOF }, full: true},
+		CutCallerDisconnected: {fault: func(_ *Frontend, leave context.CancelFunc) error { leave(); return context.Canceled }, sent: passedOn},
+		"caller-left ":        {fault: func(*Frontend, context.CancelFunc) error { return io.EOF }, full: true},
 	} {
 		t.Run(string(reason), func(t *testing.T) {
 			if c.full {
-				reason = CutCallerLeft
+				reason = CutCallerDisconnected
 			}
 			ctx, leave := context.WithCancel(t.Context())
 			defer leave()
@@ -84,7 +84,7 @@
 			assert.Equal(t, got.Cut.Reason, reason)
 			assert.Equal(t, got.Cut.Sent, c.sent)
 			assert.Equal(t, got.Cut.TableAge, time.Minute)
-			assert.Equal(t, got.Leaving != nil, reason == CutNodeEnds)
+			assert.Equal(t, got.Leaving != nil, reason == CutNodeShutdown)
 			assert.Equal(t, scope.Snapshot().Counters()["answers_cut+reason="+string(reason)].Value(), int64(1))
 		})
 	}
--- a/internal/proxy/dialect.go
+++ b/internal/proxy/dialect.go
@@ -44,9 +44,9 @@
 // DefaultDialect names the headers of a deployment that uses the project's own.
 func DefaultDialect() Dialect { return Dialect{Deadline: HeaderTimeout} }
 
-// ColdLeft is for how long an upstream stays cold by its own word; false if it says
+// ColdRemaining is for how long an upstream stays cold by its own word; false if it says
 // nothing that can be read.
-func (d Dialect) ColdLeft(h http.Header) (time.Duration, bool) {
+func (d Dialect) ColdRemaining(h http.Header) (time.Duration, bool) {
 	if d.Cold == "" || h.Get(d.Instance) == "" {
 		return 0, false
 	}
@@ -89,10 +89,10 @@
 	return strconv.Itoa(int(math.Ceil(after.Seconds())))
 }
 
-// Belongs reports whether an upstream's answer is to the request. A refusal may
+// MatchesRequest reports whether an upstream's answer is to the request. A refusal may
 // come without an id, as what refuses need not have read the request; an answer
 // to another request bears that one's id.
-func (d Dialect) Belongs(req *http.Request, resp *http.Response) bool {
+func (d Dialect) MatchesRequest(req *http.Request, resp *http.Response) bool {
 	if d.RequestID == "" {
 		return true
 	}
--- a/internal/proxy/dialect_test.go
+++ b/internal/proxy/dialect_test.go
@@ -28,7 +28,7 @@
 		h := http.Header{}
 		h.Set("Who", tc.who)
 		h.Set("Cold-Left", tc.cold)
-		left, ok := d.ColdLeft(h)
+		left, ok := d.ColdRemaining(h)
 		assert.Equal(t, ok, tc.ok, "%q %q", tc.who, tc.cold)
 		assert.Equal(t, left, tc.left, "%q %q", tc.who, tc.cold)
 	}
--- a/internal/proxy/dispatch.go
+++ b/internal/proxy/dispatch.go
@@ -35,7 +35,7 @@
 	out := c.upstreamRequest(httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) {
 			connected.Store(true)
-			c.b.cfg.Reached(true)
+			c.b.cfg.OnConnect(true)
 		},
 	}))
 	c.sent = clock.Now()
@@ -45,7 +45,7 @@
 		ended := ctx.Err()
 		cancel()
 		if !connected.Load() && ended == nil {
-			c.b.cfg.Reached(false)
+			c.b.cfg.OnConnect(false)
 			c.b.falls.fell()
 		}
 		problem := c.failure(ended, err, connected.Load())
@@ -139,7 +139,7 @@
 	c.leave(whole)
 	cancel()
 	if !whole {
-		c.finishKey(ledger.Lost, nil)
+		c.finishKey(ledger.OutcomeUnknown, nil)
 	} else if c.keyed {
 		c.finishKey(ledger.Done, &ledger.Answer{
 			Status: resp.StatusCode,
@@ -172,7 +172,7 @@
 	out := c.req.Clone(ctx)
 	out.URL.Scheme, out.URL.Host = c.b.cfg.Upstream.Scheme, c.b.cfg.Upstream.Host
 	out.GetBody = nil // nothing may replay the request
-	if c.env.Empty {
+	if c.env.EmptyBody {
 		// A body of unknown length would be sent in chunks, even if empty.
 		out.Body, out.ContentLength = http.NoBody, 0
 	}
--- a/internal/proxy/envelope.go
+++ b/internal/proxy/envelope.go
@@ -69,14 +69,14 @@
 	Tenant     string
 	Key        string
 	Timeout    time.Duration
-	// Aim is how the request stands to its objective; nil if its route has none,
+	// Objective is how the request stands to its objective; nil if its route has none,
 	// so that it may wait until the timeout.
-	Aim *Aim
-	// Await says that the sender holds the body back until the request is
+	Objective *ObjectiveState
+	// AwaitsAdmission says that the sender holds the body back until the request is
 	// admitted.
-	Await bool
-	// Empty says that the request has no body, which HTTP/3 leaves open.
-	Empty bool
+	AwaitsAdmission bool
+	// EmptyBody says that the request has no body, which HTTP/3 leaves open.
+	EmptyBody bool
 	// NoWait asks for a refusal in place of waiting for a slot.
 	NoWait bool
 	// Fingerprint tells all attempts of the request from other requests; 0 if it is not
@@ -84,8 +84,8 @@
 	Fingerprint quarantine.Fingerprint
 }
 
-// Aim is how a request stands to its objective.
-type Aim struct {
+// ObjectiveState is how a request stands to its objective.
+type ObjectiveState struct {
 	// Left is the time to the objective, less that of the way to the admitting
 	// node and back. It may be negative.
 	Left time.Duration
@@ -95,7 +95,7 @@
 
 // late reports whether the request waits among those that are more likely late
 // than not.
-func (e Envelope) late() bool { return e.Aim != nil && e.Aim.Late }
+func (e Envelope) late() bool { return e.Objective != nil && e.Objective.Late }
 
 // queueKind is the kind under which the request waits for a slot.
 func (e Envelope) queueKind() string { return overload.QueueKind(e.Kind, e.late()) }
@@ -108,16 +108,16 @@
 	h.Set(headerKind, e.Kind)
 	h.Set(headerKindWeight, strconv.FormatFloat(e.KindWeight, 'g', -1, 64))
 	h.Set(HeaderTimeout, strconv.FormatInt(e.Timeout.Milliseconds(), 10))
-	if e.Aim != nil {
-		h.Set(headerLeft, strconv.FormatInt(e.Aim.Left.Milliseconds(), 10))
-		setFlag(h, headerLate, e.Aim.Late)
+	if e.Objective != nil {
+		h.Set(headerLeft, strconv.FormatInt(e.Objective.Left.Milliseconds(), 10))
+		setFlag(h, headerLate, e.Objective.Late)
 	}
 	setIf(h, headerTenantID, e.Tenant)
 	setIf(h, headerKeyValue, e.Key)
 	setIf(h, headerPrint, e.Fingerprint.String())
 	setFlag(h, headerIdempotent, e.Idempotent)
-	setFlag(h, headerAwait, e.Await)
-	setFlag(h, headerEmpty, e.Empty)
+	setFlag(h, headerAwait, e.AwaitsAdmission)
+	setFlag(h, headerEmpty, e.EmptyBody)
 	setFlag(h, headerNoWait, e.NoWait)
 }
 
@@ -138,15 +138,15 @@
 // readEnvelope reads the headers written by write.
 func readEnvelope(h http.Header) (Envelope, error) {
 	e := Envelope{
-		Target:     h.Get(headerTarget),
-		Service:    h.Get(headerService),
-		Kind:       h.Get(headerKind),
-		Idempotent: h.Get(headerIdempotent) == flagSet,
-		Tenant:     h.Get(headerTenantID),
-		Key:        h.Get(headerKeyValue),
-		Await:      h.Get(headerAwait) == flagSet,
-		Empty:      h.Get(headerEmpty) == flagSet,
-		NoWait:     h.Get(headerNoWait) == flagSet,
+		Target:          h.Get(headerTarget),
+		Service:         h.Get(headerService),
+		Kind:            h.Get(headerKind),
+		Idempotent:      h.Get(headerIdempotent) == flagSet,
+		Tenant:          h.Get(headerTenantID),
+		Key:             h.Get(headerKeyValue),
+		AwaitsAdmission: h.Get(headerAwait) == flagSet,
+		EmptyBody:       h.Get(headerEmpty) == flagSet,
+		NoWait:          h.Get(headerNoWait) == flagSet,
 	}
 	ms, err := strconv.ParseInt(h.Get(HeaderTimeout), 10, 64)
 	if err != nil {
@@ -157,7 +157,7 @@
 		if ms, err = strconv.ParseInt(v, 10, 64); err != nil {
 			return e, errors.Wrap(err, "time left to the objective")
 		}
-		e.Aim = &Aim{Left: time.Duration(ms) * time.Millisecond, Late: h.Get(headerLate) == flagSet}
+		e.Objective = &ObjectiveState{Left: time.Duration(ms) * time.Millisecond, Late: h.Get(headerLate) == flagSet}
 	}
 	if e.Fingerprint, err = quarantine.ParseFingerprint(h.Get(headerPrint)); err != nil {
 		return e, err
--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -53,7 +53,7 @@
 	noWait bool
 	// leaving is how the request stood to the end of this node when it came; nil
 	// if the node did not leave then.
-	leaving *Leaving
+	leaving *ShutdownRecord
 	// begun says that the answer of the last try began to come, answering that it
 	// still comes.
 	begun     bool
@@ -100,7 +100,7 @@
 			continue
 		}
 		x.mayHaveRun = x.mayHaveRun || class == retry.Ambiguous
-		if class.Arrived() {
+		if class.MayHaveReachedUpstream() {
 			x.arrived++
 		}
 		if class == retry.Answered {
@@ -108,16 +108,16 @@
 			return
 		}
 		reason := x.f.again(x.service.Name, retry.Try{
-			Class:      class,
-			Idempotent: x.route.Idempotent,
-			Arrived:    x.arrived,
-			Number:     x.tries,
-			Retries:    x.retries(),
-			Remaining:  x.remaining(class),
-			Replayable: x.body.replayable(),
-			Everywhere: resp.Header.Get(HeaderReason) == reasonQuarantined,
+			Class:             class,
+			Idempotent:        x.route.Idempotent,
+			Arrived:           x.arrived,
+			Number:            x.tries,
+			Retries:           x.retries(),
+			Remaining:         x.remaining(class),
+			Replayable:        x.body.replayable(),
+			RefusedEverywhere: resp.Header.Get(HeaderReason) == reasonQuarantined,
 		})
-		if reason != retry.Go || x.endsNow(ctx) {
+		if reason != retry.Allowed || x.endsNow(ctx) {
 			x.f.metrics.notRetried(reason)
 			x.ended = reason
 			x.finish(w, resp)
@@ -128,7 +128,7 @@
 
 // fingerprint tells all attempts of the request from other requests.
 func (x *exchange) fingerprint() quarantine.Fingerprint {
-	r := quarantine.Request{About: about(x.req, x.env.Tenant), Body: x.body.buffered}
+	r := quarantine.Request{RequestInfo: about(x.req, x.env.Tenant), Body: x.body.buffered}
 	if x.body.streams() {
 		r.Length = x.body.length
 	}
@@ -142,7 +142,7 @@
 // look.
 func (x *exchange) overBeforeTry(ctx context.Context) *Problem {
 	switch {
-	case !http1.CallerLeft(ctx):
+	case !http1.CallerDisconnected(ctx):
 		return nil
 	case x.f.endingRuns.Err() != nil:
 		return notRun(http.StatusServiceUnavailable, retry.Refused, reasonLeaving, defaultRetryAfter)
@@ -189,7 +189,7 @@
 // failed. Without it 5.0% in place of 11.2% of the answers were failures of the
 // upstream itself on a day with a service of two upstreams left (one play each).
 func (x *exchange) asksForSlot() bool {
-	return !x.f.cfg.Routing.ByTime && x.mayGoElsewhere()
+	return !x.f.cfg.Routing.ByExpectedTime && x.mayGoElsewhere()
 }
 
 // mayGoElsewhere reports whether another upstream could take the request.
--- a/internal/proxy/fall.go
+++ b/internal/proxy/fall.go
@@ -10,22 +10,22 @@
 	"github.com/walldrift/walldrift/internal/quarantine"
 )
 
-// Fall tells that the process of an upstream ended while it may have been running
+// Crash tells that the process of an upstream ended while it may have been running
 // requests.
-type Fall struct {
+type Crash struct {
 	// ID is the same for what is learnt later of the same fall, and no other has it.
 	ID uint64
-	// First says that nothing was told of this fall before.
-	First    bool
-	Upstream string
-	Requests []quarantine.Fingerprint
+	// FirstReport says that nothing was told of this fall before.
+	FirstReport bool
+	Upstream    string
+	Requests    []quarantine.Fingerprint
 }
 
 // fallWatch finds out whether requests lost their connection because the upstream
 // beside this node ended, and which it may have been running then.
 type fallWatch struct {
 	refuses func() bool // whether the upstream refuses connections now
-	tell    func(Fall)
+	tell    func(Crash)
 
 	mu       sync.Mutex // guards what follows
 	running  map[*backendCall]struct{}
@@ -55,7 +55,7 @@
 	fallSettles = 50 * time.Millisecond
 )
 
-func newFallWatch(refuses func() bool, tell func(Fall)) *fallWatch {
+func newFallWatch(refuses func() bool, tell func(Crash)) *fallWatch {
 	return &fallWatch{refuses: refuses, tell: tell, running: make(map[*backendCall]struct{})}
 }
 
@@ -135,12 +135,12 @@
 	return lost[max(len(lost)-maxLost, 0):]
 }
 
-func (f *fallWatch) takeFall(now time.Time) (Fall, bool) {
+func (f *fallWatch) takeFall(now time.Time) (Crash, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	lost := f.recent(now)
 	if len(lost) == 0 {
-		return Fall{}, false
+		return Crash{}, false
 	}
 	var requests []quarantine.Fingerprint
 	for _, l := range lost {
@@ -154,5 +154,5 @@
 	if first {
 		f.fall, f.at = rand.Uint64(), now
 	}
-	return Fall{ID: f.fall, First: first, Upstream: f.upstream, Requests: requests}, true
+	return Crash{ID: f.fall, FirstReport: first, Upstream: f.upstream, Requests: requests}, true
 }
--- a/internal/proxy/fall_test.go
+++ b/internal/proxy/fall_test.go
@@ -16,12 +16,12 @@
 type watched struct {
 	*fallWatch
 	down  atomic.Bool
-	falls []Fall
+	falls []Crash
 }
 
 func newWatched() *watched {
 	w := &watched{}
-	w.fallWatch = newFallWatch(func() bool { return w.down.Load() }, func(f Fall) {
+	w.fallWatch = newFallWatch(func() bool { return w.down.Load() }, func(f Crash) {
 		slices.Sort(f.Requests)
 		w.falls = append(w.falls, f)
 	})
@@ -55,14 +55,14 @@
 		w.lose(second)
 		assert.Equal(t, len(w.falls), 2, "what is learnt later is told")
 		assert.Equal(t, w.falls[1].ID, w.falls[0].ID)
-		assert.Assert(t, w.falls[0].First && !w.falls[1].First)
+		assert.Assert(t, w.falls[0].FirstReport && !w.falls[1].FirstReport)
 		w.down.Store(false)
 		time.Sleep(time.Second)
 		third := w.pass(4)
 		w.down.Store(true)
 		w.lose(third)
 		assert.Equal(t, len(w.falls), 3)
-		assert.Assert(t, w.falls[2].ID != w.falls[0].ID && w.falls[2].First, "it was back in between")
+		assert.Assert(t, w.falls[2].ID != w.falls[0].ID && w.falls[2].FirstReport, "it was back in between")
 		assert.DeepEqual(t, w.falls[2].Requests, []quarantine.Fingerprint{4})
 	})
 }
--- a/internal/proxy/frontend.go
+++ b/internal/proxy/frontend.go
@@ -19,8 +19,8 @@
 
 // Dispatcher finds the way to the node beside an upstream.
 type Dispatcher interface {
-	// To returns the way to an instance. An error means that nothing was sent.
-	To(ctx context.Context, in membership.Instance) (http.RoundTripper, error)
+	// TransportTo returns the way to an instance. An error means that nothing was sent.
+	TransportTo(ctx context.Context, in membership.Instance) (http.RoundTripper, error)
 }
 
 // Frontend serves callers: it routes each request on the snapshot in force
@@ -36,7 +36,7 @@
 	inFlight    atomic.Int64
 	buffered    atomic.Int64 // bytes of bodies kept
 	maxInFlight int64
-	leaving     atomic.Pointer[Leave] // nil as long as this node stays
+	leaving     atomic.Pointer[ShutdownSchedule] // nil as long as this node stays
 	refusing    atomic.Bool
 	held        atomic.Int64    // bytes of answers kept as this node leaves
 	endingRuns  context.Context // ends with EndRuns
@@ -47,7 +47,7 @@
 	mu      sync.Mutex // guards what follows
 	router  *routing.Router
 	budgets map[string]*retry.Budget // by service
-	returns *overload.Returns
+	returns *overload.RefusedRequests
 	took    *overload.RunTimes // of requests that were answered, as callers see them
 	spare   *retry.Budget      // for tries at a busy upstream that may go elsewhere
 	rnd     *rand.Rand
@@ -72,13 +72,13 @@
 	// of up to 32 KB are kept. It bounds the memory that slow upstreams make
 	// uploads take. Default 0: no bound.
 	BufferTotal int64
-	// WholeAnswers is the longest answer, in bytes, that is read to its end
+	// ResponseBufferLimit is the longest answer, in bytes, that is read to its end
 	// before any of it is passed on, so that one that is cut can still be tried
 	// again or reported. Default 0: every answer streams.
-	WholeAnswers int64
-	// LeavingAnswers takes the place of WholeAnswers while this node leaves, as
-	// long as their sum stays under LeavingTotal, in bytes. Default 0: none.
-	LeavingAnswers, LeavingTotal int64
+	ResponseBufferLimit int64
+	// ShutdownBufferLimit takes the place of WholeAnswers while this node leaves, as
+	// long as their sum stays under ShutdownBufferTotal, in bytes. Default 0: none.
+	ShutdownBufferLimit, ShutdownBufferTotal int64
 	// IgnoreKeys passes idempotency keys on as any other header: no node is
 	// their home.
 	IgnoreKeys bool
@@ -88,9 +88,9 @@
 	// CallerService returns the service beside this node, for
 	// Dialect.CallerService.
 	CallerService func() string
-	// NewsAge returns how old the news of the upstreams are, for records. Default:
+	// Staleness returns how old the news of the upstreams are, for records. Default:
 	// not known, 0.
-	NewsAge func(now time.Time) time.Duration
+	Staleness func(now time.Time) time.Duration
 	// TableAge returns the time since the table in force was taken, for records.
 	// Default: not known, 0.
 	TableAge func(now time.Time) time.Duration
@@ -116,8 +116,8 @@
 		service := cfg.Self.Service
 		cfg.CallerService = func() string { return service }
 	}
-	if cfg.NewsAge == nil {
-		cfg.NewsAge = func(time.Time) time.Duration { return 0 }
+	if cfg.Staleness == nil {
+		cfg.Staleness = func(time.Time) time.Duration { return 0 }
 	}
 	if cfg.TableAge == nil {
 		cfg.TableAge = func(time.Time) time.Duration { return 0 }
@@ -155,7 +155,7 @@
 		ready:       ready,
 		router:      routing.NewRouter(cfg.Routing, cfg.Self),
 		budgets:     make(map[string]*retry.Budget),
-		returns:     overload.NewReturns(),
+		returns:     overload.NewRefusedRequests(),
 		took:        overload.NewRunTimes(),
 		spare:       retry.NewBudget(sparePolicy),
 		rnd:         rand.New(rand.NewPCG(cfg.Seed, 1)),
--- a/internal/proxy/frontend_test.go
+++ b/internal/proxy/frontend_test.go
@@ -28,7 +28,9 @@
 	seen   []Envelope
 }
 
-func (s *scripted) To(context.Context, membership.Instance) (http.RoundTripper, error) { return s, nil }
+func (s *scripted) TransportTo(context.Context, membership.Instance) (http.RoundTripper, error) {
+	return s, nil
+}
 
 func (s *scripted) RoundTrip(r *http.Request) (*http.Response, error) {
 	env, err := readEnvelope(r.Header)
@@ -107,7 +109,7 @@
 func TestChoiceByTimeQueuesAtOnce(t *testing.T) {
 	s := &scripted{script: []func(*http.Request) (*http.Response, error){answer}}
 	f := newTestFrontend(t, FrontendConfig{Retry: retry.DefaultPolicy()}, everyMember, s)
-	f.cfg.Routing.ByTime = true
+	f.cfg.Routing.ByExpectedTime = true
 	f.ServeHTTP(httptest.NewRecorder(), httptest.NewRequest(http.MethodPost, "/payments/x", nil))
 	assert.Equal(t, len(s.seen), 1)
 	assert.Assert(t, !s.seen[0].NoWait)
--- a/internal/proxy/hop.go
+++ b/internal/proxy/hop.go
@@ -9,22 +9,22 @@
 	"github.com/walldrift/walldrift/internal/membership"
 )
 
-// Hop hands requests over to other nodes by HTTP/1.1 on pooled connections. It
+// HTTP1Dispatcher hands requests over to other nodes by HTTP/1.1 on pooled connections. It
 // implements Dispatcher.
-type Hop struct {
+type HTTP1Dispatcher struct {
 	client *http1.Client
 	local  http.RoundTripper
 	self   netip.Addr
 }
 
-// NewHop returns the way from the node at self, whose own upstream is reached
+// NewHTTP1Dispatcher returns the way from the node at self, whose own upstream is reached
 // through local.
-func NewHop(client *http1.Client, self netip.Addr, local http.RoundTripper) *Hop {
-	return &Hop{client: client, local: local, self: self}
+func NewHTTP1Dispatcher(client *http1.Client, self netip.Addr, local http.RoundTripper) *HTTP1Dispatcher {
+	return &HTTP1Dispatcher{client: client, local: local, self: self}
 }
 
-// To is described at Dispatcher.
-func (h *Hop) To(_ context.Context, in membership.Instance) (http.RoundTripper, error) {
+// TransportTo is described at Dispatcher.
+func (h *HTTP1Dispatcher) TransportTo(_ context.Context, in membership.Instance) (http.RoundTripper, error) {
 	if in.Peer.Addr() == h.self {
 		return h.local, nil
 	}
--- a/internal/proxy/keys.go
+++ b/internal/proxy/keys.go
@@ -16,7 +16,7 @@
 	b := c.b
 	c.key = ledger.Key{Service: c.env.Service, Tenant: c.env.Tenant, Value: c.env.Key}
 	snap := b.holder.Current()
-	if snap == nil || snap.Service(c.env.Service) == nil || ledger.Home(snap.Service(c.env.Service), c.key) != b.cfg.Name {
+	if snap == nil || snap.Service(c.env.Service) == nil || ledger.Owner(snap.Service(c.env.Service), c.key) != b.cfg.Name {
 		return nil, keyProblem(ledger.Moved)
 	}
 	now := clock.Now()
@@ -24,15 +24,15 @@
 	v := b.ledger.Begin(now, c.key, fingerprint(c.req), snap.ID)
 	var ask []string
 	if v.Decision == ledger.Run {
-		ask = b.history.Ask(now, c.key, b.cfg.Name)
-		if v.Ask != "" {
-			ask = append(ask, v.Ask)
+		ask = b.history.OwnersToClaimFrom(now, c.key, b.cfg.Name)
+		if v.AlsoClaimFrom != "" {
+			ask = append(ask, v.AlsoClaimFrom)
 		}
 	}
 	b.mu.Unlock()
 	if len(ask) > 0 {
 		fence := ledger.Fence{Home: b.cfg.Name, Version: snap.ID}
-		v = ledger.AskOthers(b.cfg.Name, ask, func(home string) (ledger.Verdict, error) {
+		v = ledger.ClaimFromOthers(b.cfg.Name, ask, func(home string) (ledger.Verdict, error) {
 			return b.claims.Claim(ctx, home, c.key, fence)
 		})
 		if v.Decision != ledger.Run {
--- a/internal/proxy/leaving.go
+++ b/internal/proxy/leaving.go
@@ -9,11 +9,11 @@
 	"github.com/walldrift/walldrift/internal/overload"
 )
 
-// Leave is the course of a node's leaving, as far as callers' requests know it.
-type Leave struct {
-	Began     time.Time
-	Announced time.Time // callers have been told that the node leaves
-	End       time.Time // what runs is cut
+// ShutdownSchedule is the course of a node's leaving, as far as callers' requests know it.
+type ShutdownSchedule struct {
+	Start       time.Time
+	AnnouncedBy time.Time // callers have been told that the node leaves
+	Deadline    time.Time // what runs is cut
 }
 
 // takes reports whether a request that came at a time, and is given up at its
@@ -25,23 +25,23 @@
 // are few, most of them calls of what still runs, and one that is taken rests on a
 // bound: it is answered or given up before the end, however long it takes. By the
 // usual time alone three callers had 7 requests cut that took 1.5 s in place of 3 ms.
-func (l Leave) takes(now, deadline time.Time, usual time.Duration) bool {
-	if now.Add(usual).After(l.End) {
+func (l ShutdownSchedule) takes(now, deadline time.Time, usual time.Duration) bool {
+	if now.Add(usual).After(l.Deadline) {
 		return false
 	}
-	return now.Before(l.Announced) || !deadline.After(l.End)
+	return now.Before(l.AnnouncedBy) || !deadline.After(l.Deadline)
 }
 
-// SetLeaving says that this node ends. From now on it refuses what cannot be
+// BeginShutdown says that this node ends. From now on it refuses what cannot be
 // answered before its end. It also reads longer answers whole before it passes any
 // of them on, so that one which does not come in the time that is left can still be
 // reported as failed. Of 61 nodes with links of 15 Mbit/s one in a day's rolling
 // restart ended amid an answer whose run had ended 2.9 s before.
-func (f *Frontend) SetLeaving(l Leave) { f.leaving.Store(&l) }
+func (f *Frontend) BeginShutdown(l ShutdownSchedule) { f.leaving.Store(&l) }
 
-// Refuse answers all further requests with a refusal that says that they have not
+// RefuseAll answers all further requests with a refusal that says that they have not
 // run.
-func (f *Frontend) Refuse() { f.refusing.Store(true) }
+func (f *Frontend) RefuseAll() { f.refusing.Store(true) }
 
 // taken reports whether this node takes the request, which it does not if it would
 // be cut as the node leaves.
@@ -58,7 +58,7 @@
 func (f *Frontend) usualTime(kind string) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.took.Quantile(kind, overload.SafeRun)
+	return f.took.Quantile(kind, overload.SafeRunQuantile)
 }
 
 // noteTime counts how long a request took that was answered.
@@ -68,13 +68,13 @@
 	f.took.Observe(kind, took)
 }
 
-// EndRuns ends the tries of all requests in progress whose answer does not come yet.
+// CancelUnanswered ends the tries of all requests in progress whose answer does not come yet.
 // Their callers are told what is known of them, in place of a closed connection that
 // tells nothing. Answers on their way go on.
-func (f *Frontend) EndRuns() { f.endRuns() }
+func (f *Frontend) CancelUnanswered() { f.endRuns() }
 
-// EndAll ends what EndRuns has left.
-func (f *Frontend) EndAll() {
+// CancelAll ends what EndRuns has left.
+func (f *Frontend) CancelAll() {
 	f.endRuns()
 	f.end()
 }
@@ -109,16 +109,16 @@
 // as the longest.
 func (f *Frontend) wholeLimit(length int64) (limit, kept int64) {
 	if length < 0 {
-		length = f.cfg.LeavingAnswers
+		length = f.cfg.ShutdownBufferLimit
 	}
 	switch {
 	case f.leaving.Load() == nil,
-		length <= f.cfg.WholeAnswers,
-		length > f.cfg.LeavingAnswers,
-		f.held.Load()+length > f.cfg.LeavingTotal:
-		return f.cfg.WholeAnswers, 0
+		length <= f.cfg.ResponseBufferLimit,
+		length > f.cfg.ShutdownBufferLimit,
+		f.held.Load()+length > f.cfg.ShutdownBufferTotal:
+		return f.cfg.ResponseBufferLimit, 0
 	}
-	return f.cfg.LeavingAnswers, length
+	return f.cfg.ShutdownBufferLimit, length
 }
 
 // outlivesNode refuses a request of another node whose answer usually comes after
@@ -136,7 +136,7 @@
 		return nil
 	}
 	wait := c.b.gate.Forecast(c.env.queueKind(), c.env.KindWeight).Wait + c.b.sendWait(c.env.Kind)
-	usual := wait + c.b.runTime(c.env.Kind, overload.SafeRun)
+	usual := wait + c.b.runTime(c.env.Kind, overload.SafeRunQuantile)
 	if !clock.Now().Add(usual).After(*end) {
 		return nil
 	}
--- a/internal/proxy/leaving_record.go
+++ b/internal/proxy/leaving_record.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// Fate is what became of a request at a node that leaves.
-type Fate string
+// ShutdownOutcome is what became of a request at a node that leaves.
+type ShutdownOutcome string
 
 // The fates.
 const (
-	FateAnswered  Fate = "answered"   // by its upstream
-	FateRefused   Fate = "refused"    // at once, as the node leaves
-	FateFailed    Fate = "failed"     // for another reason than the leave
-	FateCutRun    Fate = "cut-run"    // no answer had begun
-	FateCutAnswer Fate = "cut-answer" // its answer was coming; nothing of it was passed on
-	FateCutSent   Fate = "cut-sent"   // a part of its answer was passed on
+	ShutdownAnswered    ShutdownOutcome = "answered"   // by its upstream
+	ShutdownRefused     ShutdownOutcome = "refused"    // at once, as the node leaves
+	ShutdownFailed      ShutdownOutcome = "failed"     // for another reason than the leave
+	ShutdownCutRun      ShutdownOutcome = "cut-run"    // no answer had begun
+	ShutdownCutResponse ShutdownOutcome = "cut-answer" // its answer was coming; nothing of it was passed on
+	ShutdownCutSent     ShutdownOutcome = "cut-sent"   // a part of its answer was passed on
 )
 
 // The stages of leaving that differ for callers' requests.
@@ -23,22 +23,22 @@
 	stageRefusing  = "refusing"
 )
 
-// Leaving is how a request stood to the end of a leaving node when it came, for
+// ShutdownRecord is how a request stood to the end of a leaving node when it came, for
 // records.
-type Leaving struct {
-	Stage    string
-	Since    time.Duration // since the leave began
-	Left     time.Duration // until what is not answered is cut
-	Bound    time.Duration // until the request's own deadline
-	Forecast time.Duration // usual time of its kind; 0 if not known
-	Samples  float64       // the requests that the forecast rests on
-	Fate     Fate
+type ShutdownRecord struct {
+	Stage         string
+	Since         time.Duration // since the leave began
+	UntilShutdown time.Duration // until what is not answered is cut
+	UntilDeadline time.Duration // until the request's own deadline
+	UsualTime     time.Duration // usual time of its kind; 0 if not known
+	Samples       float64       // the requests that the forecast rests on
+	Outcome       ShutdownOutcome
 }
 
 // notable reports whether a request has a line though it was served: one that was
 // taken after the announcement, or cut.
-func (l *Leaving) notable() bool {
-	return l != nil && (l.Stage != stageAnnounced || l.Fate != FateAnswered)
+func (l *ShutdownRecord) notable() bool {
+	return l != nil && (l.Stage != stageAnnounced || l.Outcome != ShutdownAnswered)
 }
 
 // noteLeaving notes how a request stands to the end of this node.
@@ -47,22 +47,22 @@
 	if l == nil {
 		return
 	}
-	x.leaving = &Leaving{
-		Stage:    x.f.stage(l, x.start),
-		Since:    x.start.Sub(l.Began),
-		Left:     l.End.Sub(x.start),
-		Bound:    x.deadline.Sub(x.start),
-		Forecast: x.f.usualTime(x.kind),
-		Samples:  x.f.samples(x.kind),
+	x.leaving = &ShutdownRecord{
+		Stage:         x.f.stage(l, x.start),
+		Since:         x.start.Sub(l.Start),
+		UntilShutdown: l.Deadline.Sub(x.start),
+		UntilDeadline: x.deadline.Sub(x.start),
+		UsualTime:     x.f.usualTime(x.kind),
+		Samples:       x.f.samples(x.kind),
 	}
 }
 
 // stage is how far this node has come in leaving, for a request that comes.
-func (f *Frontend) stage(l *Leave, now time.Time) string {
+func (f *Frontend) stage(l *ShutdownSchedule, now time.Time) string {
 	switch {
 	case f.refusing.Load():
 		return stageRefusing
-	case now.Before(l.Announced):
+	case now.Before(l.AnnouncedBy):
 		return stageAnnounced
 	}
 	return stageDraining
@@ -82,31 +82,31 @@
 		return
 	}
 	fate := fateOf(outcome, reason, x.f.endingRuns.Err() != nil, x.begun)
-	if x.leaving == nil && (fate == FateAnswered || fate == FateFailed) {
+	if x.leaving == nil && (fate == ShutdownAnswered || fate == ShutdownFailed) {
 		return
 	}
 	if x.leaving == nil {
-		x.leaving = &Leaving{Stage: stageBefore, Since: x.start.Sub(l.Began), Left: l.End.Sub(x.start), Bound: x.deadline.Sub(x.start)}
+		x.leaving = &ShutdownRecord{Stage: stageBefore, Since: x.start.Sub(l.Start), UntilShutdown: l.Deadline.Sub(x.start), UntilDeadline: x.deadline.Sub(x.start)}
 	}
-	x.leaving.Fate = fate
+	x.leaving.Outcome = fate
 	x.f.metrics.left(x.leaving.Stage, fate)
 }
 
 // fateOf tells what became of a request from its outcome and the reason that
 // stands in it. cut says that the node has ended what was in progress, answering
 // that the upstream's answer had begun to come.
-func fateOf(outcome, reason string, cut, answering bool) Fate {
+func fateOf(outcome, reason string, cut, answering bool) ShutdownOutcome {
 	switch {
 	case outcome == outcomeNames[0]:
-		return FateAnswered
+		return ShutdownAnswered
 	case reason == reasonLeaving && outcome == string(OutcomeNotRun):
-		return FateRefused
+		return ShutdownRefused
 	case !cut:
-		return FateFailed
+		return ShutdownFailed
 	case outcome == outcomeCut:
-		return FateCutSent
+		return ShutdownCutSent
 	case answering:
-		return FateCutAnswer
+		return ShutdownCutResponse
 	}
-	return FateCutRun
+	return ShutdownCutRun
 }
--- a/internal/proxy/leaving_record_test.go
+++ b/internal/proxy/leaving_record_test.go
@@ -25,8 +25,8 @@
 				return nil, r.Context().Err()
 			}
 		}}}
-		var got []Leaving
-		cfg := FrontendConfig{Retry: retry.DefaultPolicy(), WholeAnswers: 1 << 10, Record: func(r *Record) {
+		var got []ShutdownRecord
+		cfg := FrontendConfig{Retry: retry.DefaultPolicy(), ResponseBufferLimit: 1 << 10, Record: func(r *Record) {
 			if r.Leaving != nil {
 				got = append(got, *r.Leaving)
 			}
@@ -38,23 +38,23 @@
 		}
 		assert.Equal(t, len(got), 0)
 		bound := f.holder.Current().Match("", http.MethodPost, "/payments/x").Timeout
-		f.SetLeaving(Leave{Began: time.Now(), Announced: time.Now().Add(takes), End: time.Now().Add(bound + 2*takes)})
+		f.BeginShutdown(ShutdownSchedule{Start: time.Now(), AnnouncedBy: time.Now().Add(takes), Deadline: time.Now().Add(bound + 2*takes)})
 		send() // announced and answered: counted only
 		assert.Equal(t, len(got), 0)
 		send()
 		time.Sleep(bound)
 		send()
-		f.SetLeaving(Leave{Began: time.Now(), Announced: time.Now().Add(time.Second), End: time.Now().Add(time.Second)})
-		time.AfterFunc(takes/2, f.EndAll)
+		f.BeginShutdown(ShutdownSchedule{Start: time.Now(), AnnouncedBy: time.Now().Add(time.Second), Deadline: time.Now().Add(time.Second)})
+		time.AfterFunc(takes/2, f.CancelAll)
 		send()
 		assert.Equal(t, len(got), 3)
-		for i, fate := range []Fate{FateAnswered, FateRefused, FateCutRun} {
-			assert.Equal(t, got[i].Fate, fate)
-			assert.Equal(t, got[i].Bound, bound)
-			assert.Assert(t, got[i].Forecast >= takes && got[i].Samples > 15)
+		for i, fate := range []ShutdownOutcome{ShutdownAnswered, ShutdownRefused, ShutdownCutRun} {
+			assert.Equal(t, got[i].Outcome, fate)
+			assert.Equal(t, got[i].UntilDeadline, bound)
+			assert.Assert(t, got[i].UsualTime >= takes && got[i].Samples > 15)
 		}
 		assert.Equal(t, got[0].Stage, stageDraining)
-		assert.Assert(t, got[0].Since == takes && got[0].Left == bound+takes)
+		assert.Assert(t, got[0].Since == takes && got[0].UntilShutdown == bound+takes)
 		assert.Equal(t, got[2].Stage, stageAnnounced)
 	})
 }
@@ -63,15 +63,15 @@
 	for _, c := range []struct {
 		outcome, reason string
 		cut, answering  bool
-		fate            Fate
+		fate            ShutdownOutcome
 	}{
-		{"answered", "", true, true, FateAnswered},
-		{"not-run", reasonLeaving, false, false, FateRefused},
-		{"not-run", reasonBusy, false, false, FateFailed},
-		{"cut", "", false, true, FateFailed}, // by the upstream
-		{"unknown", reasonLost, true, false, FateCutRun},
-		{"unknown", reasonLost, true, true, FateCutAnswer},
-		{"cut", "", true, true, FateCutSent},
+		{"answered", "", true, true, ShutdownAnswered},
+		{"not-run", reasonLeaving, false, false, ShutdownRefused},
+		{"not-run", reasonBusy, false, false, ShutdownFailed},
+		{"cut", "", false, true, ShutdownFailed}, // by the upstream
+		{"unknown", reasonLost, true, false, ShutdownCutRun},
+		{"unknown", reasonLost, true, true, ShutdownCutResponse},
+		{"cut", "", true, true, ShutdownCutSent},
 	} {
 		assert.Equal(t, fateOf(c.outcome, c.reason, c.cut, c.answering), c.fate)
 	}
--- a/internal/proxy/leaving_test.go
+++ b/internal/proxy/leaving_test.go
@@ -24,12 +24,12 @@
 	s := &scripted{script: []func(*http.Request) (*http.Response, error){func(r *http.Request) (*http.Response, error) {
 		return &http.Response{StatusCode: http.StatusOK, Header: http.Header{}, Body: io.NopCloser(body(r.Context())), ContentLength: length, Request: r}, nil
 	}}}
-	return newTestFrontend(t, FrontendConfig{Retry: retry.DefaultPolicy(), WholeAnswers: 1 << 10, LeavingAnswers: longest, LeavingTotal: longest}, everyMember, s)
+	return newTestFrontend(t, FrontendConfig{Retry: retry.DefaultPolicy(), ResponseBufferLimit: 1 << 10, ShutdownBufferLimit: longest, ShutdownBufferTotal: longest}, everyMember, s)
 }
 
 // announcedUntil is a leave that is announced until its end.
-func announcedUntil(end time.Time) Leave {
-	return Leave{Began: time.Now(), Announced: end, End: end}
+func announcedUntil(end time.Time) ShutdownSchedule {
+	return ShutdownSchedule{Start: time.Now(), AnnouncedBy: end, Deadline: end}
 }
 
 // stalled gives some bytes and then none until its request ends.
@@ -56,10 +56,10 @@
 			}
 			f := leavingFrontend(t, half, 90<<10)
 			if leaving {
-				f.SetLeaving(announcedUntil(time.Now().Add(time.Hour)))
+				f.BeginShutdown(announcedUntil(time.Now().Add(time.Hour)))
 			}
 			began := time.Now()
-			time.AfterFunc(time.Second, f.EndAll)
+			time.AfterFunc(time.Second, f.CancelAll)
 			w, cut := httptest.NewRecorder(), false
 			func() {
 				defer func() { cut = recover() != nil }()
@@ -81,7 +81,7 @@
 	f := leavingFrontend(t, whole, 90<<10)
 	limit, kept := f.wholeLimit(90 << 10)
 	assert.Assert(t, limit == 1<<10 && kept == 0, "it stays")
-	f.SetLeaving(announcedUntil(time.Now().Add(time.Hour)))
+	f.BeginShutdown(announcedUntil(time.Now().Add(time.Hour)))
 	limit, kept = f.wholeLimit(90 << 10)
 	assert.Assert(t, limit == longest && kept == 90<<10)
 	_, kept = f.wholeLimit(longest + 1)
@@ -105,7 +105,7 @@
 			time.Sleep(takes)
 			return answer(r)
 		}}}
-		f := newTestFrontend(t, FrontendConfig{Retry: retry.DefaultPolicy(), WholeAnswers: 1 << 10}, everyMember, s)
+		f := newTestFrontend(t, FrontendConfig{Retry: retry.DefaultPolicy(), ResponseBufferLimit: 1 << 10}, everyMember, s)
 		send := func() (*httptest.ResponseRecorder, time.Duration) {
 			began, w := time.Now(), httptest.NewRecorder()
 			f.ServeHTTP(w, httptest.NewRequest(http.MethodPost, "/payments/x", nil))
@@ -114,7 +114,7 @@
 		for range 20 {
 			send()
 		}
-		f.SetLeaving(announcedUntil(time.Now().Add(2 * takes)))
+		f.BeginShutdown(announcedUntil(time.Now().Add(2 * takes)))
 		w, _ := send()
 		assert.Equal(t, w.Code, http.StatusOK)
 		ran := len(s.seen)
@@ -122,8 +122,8 @@
 		assert.Equal(t, w.Code, http.StatusServiceUnavailable)
 		assert.Equal(t, w.Header().Get(HeaderOutcome), string(OutcomeNotRun))
 		assert.Assert(t, took == 0 && len(s.seen) == ran)
-		f.SetLeaving(announcedUntil(time.Now().Add(time.Hour)))
-		f.Refuse()
+		f.BeginShutdown(announcedUntil(time.Now().Add(time.Hour)))
+		f.RefuseAll()
 		w, _ = send()
 		assert.Equal(t, w.Code, http.StatusServiceUnavailable)
 		assert.Equal(t, len(s.seen), ran)
@@ -149,7 +149,7 @@
 					return nil, r.Context().Err()
 				}
 			}}}
-			f := newTestFrontend(t, FrontendConfig{Retry: retry.DefaultPolicy(), WholeAnswers: 1 << 10}, everyMember, s)
+			f := newTestFrontend(t, FrontendConfig{Retry: retry.DefaultPolicy(), ResponseBufferLimit: 1 << 10}, everyMember, s)
 			send := func(wait time.Duration) (*httptest.ResponseRecorder, time.Duration) {
 				began, w := time.Now(), httptest.NewRecorder()
 				r := httptest.NewRequest(http.MethodPost, "/payments/x", nil)
@@ -162,8 +162,8 @@
 			}
 			takes = left + usual // something has changed
 			end := time.Now().Add(left)
-			f.SetLeaving(Leave{Began: time.Now().Add(-time.Second), Announced: time.Now(), End: end})
-			time.AfterFunc(left, f.EndAll)
+			f.BeginShutdown(ShutdownSchedule{Start: time.Now().Add(-time.Second), AnnouncedBy: time.Now(), Deadline: end})
+			time.AfterFunc(left, f.CancelAll)
 			ran := len(s.seen)
 			w, took := send(left + time.Millisecond)
 			assert.Equal(t, w.Code, http.StatusServiceUnavailable, name)
@@ -184,7 +184,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := &scripted{script: []func(*http.Request) (*http.Response, error){answer}}
 		f := newTestFrontend(t, FrontendConfig{Retry: retry.DefaultPolicy()}, everyMember, s)
-		f.SetLeaving(Leave{Began: time.Now(), Announced: time.Now().Add(time.Millisecond), End: time.Now().Add(2 * time.Millisecond)})
+		f.BeginShutdown(ShutdownSchedule{Start: time.Now(), AnnouncedBy: time.Now().Add(time.Millisecond), Deadline: time.Now().Add(2 * time.Millisecond)})
 		w := httptest.NewRecorder()
 		f.ServeHTTP(w, httptest.NewRequest(http.MethodPost, "/payments/x", nil))
 		assert.Equal(t, w.Code, http.StatusOK)
@@ -200,8 +200,8 @@
 		f := leavingFrontend(t, func(ctx context.Context) io.Reader {
 			return stalled{ctx, strings.NewReader(strings.Repeat("a", 50<<10))}
 		}, -1)
-		f.SetLeaving(announcedUntil(time.Now().Add(time.Hour)))
-		time.AfterFunc(time.Second, f.EndAll)
+		f.BeginShutdown(announcedUntil(time.Now().Add(time.Hour)))
+		time.AfterFunc(time.Second, f.CancelAll)
 		w, cut := httptest.NewRecorder(), false
 		func() {
 			defer func() { cut = recover() != nil }()
@@ -241,9 +241,9 @@
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			s := &scripted{script: []func(*http.Request) (*http.Response, error){c.try}}
-			f := newTestFrontend(t, FrontendConfig{Retry: retry.DefaultPolicy(), WholeAnswers: 1 << 10}, everyMember, s)
-			f.SetLeaving(announcedUntil(time.Now().Add(rest / 2)))
-			time.AfterFunc(rest/2, f.EndRuns)
+			f := newTestFrontend(t, FrontendConfig{Retry: retry.DefaultPolicy(), ResponseBufferLimit: 1 << 10}, everyMember, s)
+			f.BeginShutdown(announcedUntil(time.Now().Add(rest / 2)))
+			time.AfterFunc(rest/2, f.CancelUnanswered)
 			began, w := time.Now(), httptest.NewRecorder()
 			f.ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/tariff/x", nil)) // may be repeated
 			assert.Equal(t, w.Code, c.status, name)
--- a/internal/proxy/metrics.go
+++ b/internal/proxy/metrics.go
@@ -144,6 +144,6 @@
 }
 
 // left counts one request that a leaving node took, refused or cut.
-func (m *Metrics) left(stage string, fate Fate) {
+func (m *Metrics) left(stage string, fate ShutdownOutcome) {
 	m.scope.Tagged(map[string]string{"stage": stage, "fate": string(fate)}).Counter("leaving_requests").Inc(1)
 }
--- a/internal/proxy/pool.go
+++ b/internal/proxy/pool.go
@@ -28,15 +28,15 @@
 	IdleTimeout time.Duration
 	// DialTimeout bounds one handshake. Default 1 s.
 	DialTimeout time.Duration
-	// FailureMemory is how long a failed handshake answers for the instance, so
+	// DialFailureTTL is how long a failed handshake answers for the instance, so
 	// that requests to a dead node are refused at once in place of one after
 	// another waiting for it. Default 500 ms.
-	FailureMemory time.Duration
+	DialFailureTTL time.Duration
 }
 
 // DefaultPoolConfig returns the defaults given at the fields.
 func DefaultPoolConfig() PoolConfig {
-	return PoolConfig{MaxConns: 128, IdleTimeout: 30 * time.Second, DialTimeout: time.Second, FailureMemory: 500 * time.Millisecond}
+	return PoolConfig{MaxConns: 128, IdleTimeout: 30 * time.Second, DialTimeout: time.Second, DialFailureTTL: 500 * time.Millisecond}
 }
 
 // Pool keeps the request connections of a node, opened on demand. It
@@ -72,8 +72,8 @@
 // Call it before the first request.
 func (p *Pool) SetLocal(local http.RoundTripper) { p.local = local }
 
-// To is described at Dispatcher.
-func (p *Pool) To(ctx context.Context, in membership.Instance) (http.RoundTripper, error) {
+// TransportTo is described at Dispatcher.
+func (p *Pool) TransportTo(ctx context.Context, in membership.Instance) (http.RoundTripper, error) {
 	if in.Name == p.self {
 		return p.local, nil
 	}
@@ -95,7 +95,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
-	if c, ok := p.conns[in.Name]; ok && c.addr == in.Peer && (!c.broken() || c.failedLately(now, p.cfg.FailureMemory)) {
+	if c, ok := p.conns[in.Name]; ok && c.addr == in.Peer && (!c.broken() || c.failedLately(now, p.cfg.DialFailureTTL)) {
 		c.used = now
 		return c
 	}
@@ -171,7 +171,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for name, c := range p.conns {
-		if c.broken() && !c.failedLately(now, p.cfg.FailureMemory) {
+		if c.broken() && !c.failedLately(now, p.cfg.DialFailureTTL) {
 			delete(p.conns, name)
 			continue
 		}
--- a/internal/proxy/pool_test.go
+++ b/internal/proxy/pool_test.go
@@ -31,18 +31,18 @@
 		p := NewPool(DefaultPoolConfig(), d, "self")
 		in := membership.Instance{Name: "dead", Peer: netip.MustParseAddrPort("127.0.0.1:1")}
 		begin := time.Now()
-		_, err := p.To(t.Context(), in)
+		_, err := p.TransportTo(t.Context(), in)
 		assert.ErrorContains(t, err, "dead")
 		first := time.Since(begin)
 		assert.Equal(t, first, p.cfg.DialTimeout)
 		for range 100 {
-			_, err = p.To(t.Context(), in)
+			_, err = p.TransportTo(t.Context(), in)
 			assert.ErrorContains(t, err, "dead")
 		}
 		assert.Equal(t, time.Since(begin), first)
 		assert.Equal(t, d.dials, 1)
-		time.Sleep(p.cfg.FailureMemory)
-		_, err = p.To(t.Context(), in)
+		time.Sleep(p.cfg.DialFailureTTL)
+		_, err = p.TransportTo(t.Context(), in)
 		assert.ErrorContains(t, err, "dead")
 		assert.Equal(t, d.dials, 2)
 	})
--- a/internal/proxy/quarantine.go
+++ b/internal/proxy/quarantine.go
@@ -16,7 +16,7 @@
 	// Answered notes that an upstream of a service has answered a request.
 	Answered(r quarantine.Fingerprint, service string)
 	// Refused notes that a request was held back by a verdict.
-	Refused(r quarantine.Fingerprint, service string, v quarantine.Verdict, about quarantine.About)
+	Refused(r quarantine.Fingerprint, service string, v quarantine.Verdict, about quarantine.RequestInfo)
 }
 
 // noQuarantine holds nothing back.
@@ -25,7 +25,7 @@
 func (noQuarantine) Check(quarantine.Fingerprint, string) (v quarantine.Verdict) { return v }
 func (noQuarantine) Start(quarantine.Fingerprint, string) (v quarantine.Verdict) { return v }
 func (noQuarantine) Answered(quarantine.Fingerprint, string)                     {}
-func (noQuarantine) Refused(quarantine.Fingerprint, string, quarantine.Verdict, quarantine.About) {
+func (noQuarantine) Refused(quarantine.Fingerprint, string, quarantine.Verdict, quarantine.RequestInfo) {
 }
 
 // reasonQuarantined is given to a request that is held back, since upstreams ended
@@ -43,8 +43,8 @@
 }
 
 // about is what a caller asks for, but for the body.
-func about(req *http.Request, tenant string) quarantine.About {
-	return quarantine.About{
+func about(req *http.Request, tenant string) quarantine.RequestInfo {
+	return quarantine.RequestInfo{
 		Method: req.Method,
 		Host:   req.Host,
 		Target: req.URL.RequestURI(),
--- a/internal/proxy/quarantine_test.go
+++ b/internal/proxy/quarantine_test.go
@@ -21,7 +21,7 @@
 	return quarantine.Verdict{Held: true, After: time.Minute}
 }
 
-func (q *lateWord) Refused(quarantine.Fingerprint, string, quarantine.Verdict, quarantine.About) {
+func (q *lateWord) Refused(quarantine.Fingerprint, string, quarantine.Verdict, quarantine.RequestInfo) {
 	q.refused++
 }
 
@@ -46,7 +46,7 @@
 		assert.Equal(t, b.Load().Waiting, 1)
 		word := &lateWord{}
 		b.cfg.Quarantine = word
-		b.Restarted()
+		b.UpstreamRestarted()
 		assert.Equal(t, <-first, string(OutcomeUnknown))
 		header := <-second
 		assert.Equal(t, header.Get(HeaderReason), reasonQuarantined)
--- a/internal/proxy/receive.go
+++ b/internal/proxy/receive.go
@@ -18,7 +18,7 @@
 // receivable reports whether the body is taken before the request is admitted.
 func (c *backendCall) receivable() bool {
 	length := c.req.ContentLength
-	return c.b.receiver != nil && c.remote && !c.env.Await && length > receiveFrom && length <= c.b.cfg.ReceiveLimit
+	return c.b.receiver != nil && c.remote && !c.env.AwaitsAdmission && length > receiveFrom && length <= c.b.cfg.MaxReceivedBody
 }
 
 // receive takes the body of a request that is likely to be admitted. Where it is
--- a/internal/proxy/receive_test.go
+++ b/internal/proxy/receive_test.go
@@ -62,7 +62,7 @@
 func receivingBackend(up http.RoundTripper) *Backend {
 	return NewBackend(BackendConfig{
 		Upstream: &url.URL{Scheme: "http", Host: "upstream"}, Slots: 1, QueueLimit: 4, Ledger: ledger.DefaultConfig(),
-		Transport: up, Receivers: 1, ReceiveLimit: 1 << 20,
+		Transport: up, MaxReceives: 1, MaxReceivedBody: 1 << 20,
 	}, &snapshot.Holder{}, nil, NewMetrics(tally.NoopScope), time.Now())
 }
 
@@ -116,7 +116,7 @@
 		}()
 		time.Sleep(100 * time.Millisecond)
 		began := time.Now()
-		status, header := handOver(t.Context(), b, long(0), longBody, Envelope{Aim: &Aim{Left: 50 * time.Millisecond}})
+		status, header := handOver(t.Context(), b, long(0), longBody, Envelope{Objective: &ObjectiveState{Left: 50 * time.Millisecond}})
 		assert.Equal(t, status, http.StatusServiceUnavailable)
 		assert.Equal(t, header.Get(HeaderOutcome), string(OutcomeNotRun))
 		assert.Equal(t, header.Get(HeaderReason), string(admission.ReasonBusy))
--- a/internal/proxy/record.go
+++ b/internal/proxy/record.go
@@ -12,29 +12,29 @@
 
 // Record tells how a caller's request was decided, for logs.
 type Record struct {
-	ID       string // as the caller sent it
-	Kind     string
-	Service  string
-	Route    string
-	Version  version.ID // of the table in force when it came
-	Status   int
-	Outcome  string
-	Reason   string // of an answer that a node made; empty for an upstream's
-	Retry    retry.Reason
-	Took     time.Duration
-	Deadline time.Duration // given to it, from its coming
+	ID         string // as the caller sent it
+	Kind       string
+	Service    string
+	Route      string
+	Version    version.ID // of the table in force when it came
+	Status     int
+	Outcome    string
+	Reason     string // of an answer that a node made; empty for an upstream's
+	NotRetried retry.Reason
+	Took       time.Duration
+	Deadline   time.Duration // given to it, from its coming
 	// Age is the time since the caller's first attempt came, when this one did.
 	Age time.Duration
 	// Late says that it was taken for more likely late than not.
 	Late bool
-	// NewsAge is how old the news of the upstreams were when it ended.
-	NewsAge time.Duration
-	Cut     CutRecord
-	Tries   []TryRecord
+	// Staleness is how old the news of the upstreams were when it ended.
+	Staleness time.Duration
+	Cut       CutRecord
+	Tries     []TryRecord
 	// Fingerprint is the same for all attempts of a request.
 	Fingerprint quarantine.Fingerprint
 	// Leaving is set for a request that a leaving node took, refused or cut.
-	Leaving *Leaving
+	Leaving *ShutdownRecord
 }
 
 // TryRecord is one try of a request.
@@ -83,22 +83,22 @@
 		return
 	}
 	x.f.cfg.Record(&Record{
-		ID:       x.req.Header.Get(x.f.cfg.Dialect.RequestID),
-		Kind:     x.kind,
-		Service:  x.service.Name,
-		Route:    x.route.Name,
-		Version:  x.version,
-		Status:   status,
-		Outcome:  outcome,
-		Reason:   reason,
-		Retry:    x.ended,
-		Took:     took,
-		Deadline: x.deadline.Sub(x.start),
-		Age:      x.start.Sub(x.first),
-		Late:     x.env.late(),
-		NewsAge:  x.f.cfg.NewsAge(clock.Now()),
-		Cut:      x.cut,
-		Tries:    x.trail,
+		ID:         x.req.Header.Get(x.f.cfg.Dialect.RequestID),
+		Kind:       x.kind,
+		Service:    x.service.Name,
+		Route:      x.route.Name,
+		Version:    x.version,
+		Status:     status,
+		Outcome:    outcome,
+		Reason:     reason,
+		NotRetried: x.ended,
+		Took:       took,
+		Deadline:   x.deadline.Sub(x.start),
+		Age:        x.start.Sub(x.first),
+		Late:       x.env.late(),
+		Staleness:  x.f.cfg.Staleness(clock.Now()),
+		Cut:        x.cut,
+		Tries:      x.trail,
 
 		Fingerprint: x.env.Fingerprint,
 		Leaving:     x.leaving,
--- a/internal/proxy/restart_test.go
+++ b/internal/proxy/restart_test.go
@@ -48,7 +48,7 @@
 		time.Sleep(10 * time.Millisecond)
 		assert.Equal(t, b.Load().Waiting, 1)
 		began := time.Now()
-		b.Restarted()
+		b.UpstreamRestarted()
 		both := []string{<-ends, <-ends} // at the same time, in either order
 		slices.Sort(both)
 		assert.DeepEqual(t, both, []string{"", string(OutcomeUnknown)})
@@ -68,21 +68,21 @@
 	for range 100 {
 		b.runs.Observe("k", time.Second)
 	}
-	assert.Assert(t, b.runTime("k", overload.SafeRun) > 0)
-	b.Restarted()
+	assert.Assert(t, b.runTime("k", overload.SafeRunQuantile) > 0)
+	b.UpstreamRestarted()
 	assert.Assert(t, b.standsFor(name))
-	assert.Equal(t, b.runTime("k", overload.SafeRun), time.Duration(0))
+	assert.Equal(t, b.runTime("k", overload.SafeRunQuantile), time.Duration(0))
 }
 
 // An answer that is here is passed on whole, though its upstream is no more.
 func TestRestartCutsNoAnswerThatIsHere(t *testing.T) {
 	b := receivingBackend(&silentOnce{requests: 1})
-	b.cfg.WholeAnswers = 100
+	b.cfg.ResponseBufferLimit = 100
 	r := httptest.NewRequest(http.MethodPost, "/x", nil)
 	Envelope{Kind: "k", KindWeight: 1, Timeout: time.Second}.write(r.Header)
 	resp, err := b.RoundTrip(r)
 	assert.NilError(t, err)
-	b.Restarted()
+	b.UpstreamRestarted()
 	raw, err := io.ReadAll(resp.Body)
 	assert.NilError(t, err)
 	assert.Equal(t, string(raw), "ok")
@@ -92,9 +92,9 @@
 // and the upstream there. That another process is published tells of the fall.
 func TestReplacedUpstreamHasFallen(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var falls []Fall
+		var falls []Crash
 		b := receivingBackend(brokenConnections{})
-		b.falls = newFallWatch(func() bool { return false }, func(f Fall) { falls = append(falls, f) })
+		b.falls = newFallWatch(func() bool { return false }, func(f Crash) { falls = append(falls, f) })
 		send := func(r quarantine.Fingerprint) {
 			_, header := handOver(t.Context(), b, nil, 0, Envelope{Target: "i-1", Fingerprint: r})
 			assert.Equal(t, header.Get(HeaderReason), reasonLost)
@@ -102,14 +102,14 @@
 		send(7)
 		time.Sleep(lostMemory / 2)
 		assert.Equal(t, len(falls), 0, "an answer that is lost is no fall")
-		b.Replaced()
-		b.Replaced()
+		b.UpstreamReplaced()
+		b.UpstreamReplaced()
 		assert.Equal(t, len(falls), 1)
 		assert.Equal(t, falls[0].Upstream, "i-1")
 		assert.DeepEqual(t, falls[0].Requests, []quarantine.Fingerprint{7})
 		send(8)
 		time.Sleep(2 * lostMemory)
-		b.Replaced()
+		b.UpstreamReplaced()
 		assert.Equal(t, len(falls), 1, "a connection that broke long before is no part of it")
 	})
 }
--- a/internal/proxy/send.go
+++ b/internal/proxy/send.go
@@ -17,10 +17,10 @@
 
 // answerLimit is the longest answer that is read to its end now.
 func (b *Backend) answerLimit() int64 {
-	if b.sender == nil || b.kept.Load() >= b.cfg.AnswerTotal {
-		return b.cfg.WholeAnswers
+	if b.sender == nil || b.kept.Load() >= b.cfg.SendBufferTotal {
+		return b.cfg.ResponseBufferLimit
 	}
-	return max(b.cfg.AnswerLimit, b.cfg.WholeAnswers)
+	return max(b.cfg.SendBufferLimit, b.cfg.ResponseBufferLimit)
 }
 
 // inTurn returns the answer's body such that a long one to another node waits for
@@ -109,11 +109,11 @@
 // linkFull refuses a request whose answer would wait for the link past the
 // objective, before it takes a slot.
 func (c *backendCall) linkFull() *Problem {
-	if !c.remote || c.env.Aim == nil {
+	if !c.remote || c.env.Objective == nil {
 		return nil
 	}
 	wait := c.b.sendWait(c.env.Kind)
-	if wait == 0 || wait+c.b.runTime(c.env.Kind, overload.SafeRun) <= c.env.Aim.Left {
+	if wait == 0 || wait+c.b.runTime(c.env.Kind, overload.SafeRunQuantile) <= c.env.Objective.Left {
 		return nil
 	}
 	return refusedBy(admission.Verdict{Reason: admission.ReasonLink, RetryAfter: wait})
--- a/internal/proxy/send_test.go
+++ b/internal/proxy/send_test.go
@@ -56,15 +56,15 @@
 func sendingBackend(senders int) *Backend {
 	return NewBackend(BackendConfig{
 		Upstream: &url.URL{Scheme: "http", Host: "upstream"}, Slots: 1, QueueLimit: 40, Ledger: ledger.DefaultConfig(),
-		Transport: longAnswers{}, Senders: senders, AnswerLimit: 1 << 20, AnswerTotal: 8 << 20, WholeAnswers: 4 << 10,
+		Transport: longAnswers{}, MaxSends: senders, SendBufferLimit: 1 << 20, SendBufferTotal: 8 << 20, ResponseBufferLimit: 4 << 10,
 	}, &snapshot.Holder{}, nil, NewMetrics(tally.NoopScope), time.Now())
 }
 
 // ask sends a request as another node does and returns its status, reason and
 // how long it took.
-func ask(b *Backend, link chan struct{}, path, kind string, aim *Aim) (int, string, time.Duration) {
+func ask(b *Backend, link chan struct{}, path, kind string, aim *ObjectiveState) (int, string, time.Duration) {
 	r := httptest.NewRequest(http.MethodGet, path, nil)
-	Envelope{Kind: kind, KindWeight: 1, Timeout: 5 * time.Second, Aim: aim, Idempotent: true}.write(r.Header)
+	Envelope{Kind: kind, KindWeight: 1, Timeout: 5 * time.Second, Objective: aim, Idempotent: true}.write(r.Header)
 	w := slowLink{httptest.NewRecorder(), link}
 	began := time.Now()
 	NewPeerHandler(b).ServeHTTP(w, r)
@@ -106,11 +106,11 @@
 			group.Go(func() { ask(b, link, "/long", "form", nil) })
 		}
 		time.Sleep(350 * time.Millisecond) // a few were sent, so their time is known
-		status, reason, took := ask(b, newLink(), "/long", "form", &Aim{Left: 20 * time.Millisecond})
+		status, reason, took := ask(b, newLink(), "/long", "form", &ObjectiveState{Left: 20 * time.Millisecond})
 		assert.Equal(t, status, http.StatusServiceUnavailable)
 		assert.Equal(t, reason, string(admission.ReasonLink))
 		assert.Assert(t, took < 10*time.Millisecond, "%v", took)
-		status, _, _ = ask(b, link, "/short", "call", &Aim{Left: 200 * time.Millisecond})
+		status, _, _ = ask(b, link, "/short", "call", &ObjectiveState{Left: 200 * time.Millisecond})
 		assert.Equal(t, status, http.StatusOK)
 		group.Wait()
 	})
--- a/internal/proxy/stall_test.go
+++ b/internal/proxy/stall_test.go
@@ -68,7 +68,7 @@
 		assert.Equal(t, w.Body.String(), "ok")
 		assert.Equal(t, len(s.seen), 1)
 		b := receivingBackend(tripFunc(late))
-		b.cfg.WholeAnswers = 100
+		b.cfg.ResponseBufferLimit = 100
 		r := httptest.NewRequest(http.MethodPost, "/x", nil)
 		Envelope{Kind: "k", KindWeight: 1, Timeout: time.Second}.write(r.Header)
 		resp, err := b.RoundTrip(r)
--- a/internal/proxy/try.go
+++ b/internal/proxy/try.go
@@ -37,7 +37,7 @@
 	way := readWay(resp.Header, clock.Since(sent))
 	if class != retry.Answered {
 		failed := class == retry.NeverDispatched || class == retry.Rejected || class == retry.Ambiguous
-		x.f.ended(target.Name, routing.Outcome{Generation: target.Generation, Failed: failed, Denied: denied(resp.Header), Told: readLoad(resp.Header), Kind: x.kind, Late: x.env.late(), Way: way})
+		x.f.ended(target.Name, routing.Outcome{Generation: target.Generation, Failed: failed, WrongInstance: denied(resp.Header), Load: readLoad(resp.Header), Kind: x.kind, Late: x.env.late(), NetworkTime: way})
 		return resp, class
 	}
 	x.begins(true)
@@ -54,7 +54,7 @@
 	told := readLoad(resp.Header)
 	resp.Body = &endingBody{ReadCloser: resp.Body, want: resp.ContentLength, end: func(bool) {
 		x.f.held.Add(-kept)
-		x.f.ended(target.Name, routing.Outcome{Generation: target.Generation, Failed: resp.StatusCode >= http.StatusInternalServerError, Latency: latency, Told: told, Kind: x.kind, Late: x.env.late(), Way: way})
+		x.f.ended(target.Name, routing.Outcome{Generation: target.Generation, Failed: resp.StatusCode >= http.StatusInternalServerError, Latency: latency, Load: told, Kind: x.kind, Late: x.env.late(), NetworkTime: way})
 	}}
 	if x.req.Method == http.MethodHead {
 		resp.Body.(*endingBody).want = -1
@@ -92,18 +92,18 @@
 // pick asks the router for an upstream that was not tried yet.
 func (x *exchange) pick() (routing.Candidate, bool) {
 	return x.f.pick(routing.Request{
-		Service:  x.service,
-		Pinned:   x.route.Upstream,
-		Tried:    x.tried,
-		Kind:     x.kind,
-		Aim:      x.aim,
-		Returned: x.first.Before(x.start),
+		Service:           x.service,
+		Pinned:            x.route.Upstream,
+		Tried:             x.tried,
+		Kind:              x.kind,
+		ObjectiveDeadline: x.aim,
+		CallerRetry:       x.first.Before(x.start),
 	})
 }
 
 func (x *exchange) chooseHome() (membership.Instance, *Problem) {
 	key := ledger.Key{Service: x.env.Service, Tenant: x.env.Tenant, Value: x.env.Key}
-	m, ok := x.f.members(ledger.Home(x.service, key))
+	m, ok := x.f.members(ledger.Owner(x.service, key))
 	if !ok || m.Status == membership.Gone {
 		return membership.Instance{}, notRun(http.StatusServiceUnavailable, retry.Limited, reasonHome, defaultRetryAfter)
 	}
@@ -112,7 +112,7 @@
 
 // send hands the request to the node beside the target.
 func (x *exchange) send(ctx context.Context, target membership.Instance) (*http.Response, *Problem) {
-	way, err := x.f.dispatch.To(ctx, target)
+	way, err := x.f.dispatch.TransportTo(ctx, target)
 	if err != nil {
 		return nil, notRun(http.StatusServiceUnavailable, retry.NeverDispatched, reasonUnreachable, defaultRetryAfter)
 	}
@@ -130,10 +130,10 @@
 	env := x.env
 	env.Target = target.Name
 	env.Timeout = clock.Until(x.deadline)
-	env.Await = x.body.streams()
-	env.Empty = x.body.length == 0
+	env.AwaitsAdmission = x.body.streams()
+	env.EmptyBody = x.body.length == 0
 	env.NoWait = x.noWait
-	if env.Await {
+	if env.AwaitsAdmission {
 		ctx = withAdmitted(ctx, sync.OnceFunc(func() { close(admitted) }))
 	}
 	out := x.req.Clone(ctx)
--- a/internal/quarantine/bench_test.go
+++ b/internal/quarantine/bench_test.go
@@ -9,10 +9,10 @@
 )
 
 // fullBook remembers as many requests as a book does, each at one fall.
-func fullBook() *Book {
-	b := NewBook(DefaultConfig())
+func fullBook() *Tracker {
+	b := NewTracker(DefaultConfig())
 	for i := range b.cfg.MaxRecords {
-		b.Fell(start, uint64(i)<<32|1, shop, []Fingerprint{Fingerprint(mix(uint64(i)))})
+		b.UpstreamCrashed(start, uint64(i)<<32|1, shop, []Fingerprint{Fingerprint(mix(uint64(i)))})
 	}
 	return b
 }
@@ -20,7 +20,7 @@
 // BenchmarkRequest is what each request costs: its fingerprint, two looks and its answer.
 func BenchmarkRequest(b *testing.B) {
 	book := fullBook()
-	r := Request{About: About{Method: "GET", Host: "shop.example", Target: "/read/some/path?page=3&sort=new"}}
+	r := Request{RequestInfo: RequestInfo{Method: "GET", Host: "shop.example", Target: "/read/some/path?page=3&sort=new"}}
 	b.ReportAllocs()
 	for b.Loop() {
 		f := r.Fingerprint()
@@ -32,7 +32,7 @@
 
 // BenchmarkFingerprintOfABody is one of 60 KB.
 func BenchmarkFingerprintOfABody(b *testing.B) {
-	r := Request{About: About{Method: "POST", Host: "shop.example", Target: "/write"}, Body: make([]byte, 60<<10)}
+	r := Request{RequestInfo: RequestInfo{Method: "POST", Host: "shop.example", Target: "/write"}, Body: make([]byte, 60<<10)}
 	b.SetBytes(int64(len(r.Body)))
 	for b.Loop() {
 		r.Fingerprint()
@@ -50,12 +50,12 @@
 // A fall is told in little: that of an upstream with 22 requests goes to all siblings at
 // once, on links of a few Mbit/s.
 func TestFallIsToldInLittle(t *testing.T) {
-	b := NewBook(DefaultConfig())
+	b := NewTracker(DefaultConfig())
 	var requests []Fingerprint
 	for i := range 22 {
 		requests = append(requests, Fingerprint(mix(uint64(i))))
 	}
-	b.Fell(start, mix(99), "statements", requests)
+	b.UpstreamCrashed(start, mix(99), "statements", requests)
 	raw, err := cbor.Marshal(b.Changes(start.Add(20 * time.Millisecond)))
 	assert.NilError(t, err)
 	t.Logf("%d bytes", len(raw))
--- a/internal/quarantine/book.go
+++ b/internal/quarantine/book.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Book remembers which requests were running when upstreams fell. It is not safe for
+// Tracker remembers which requests were running when upstreams fell. It is not safe for
 // concurrent use.
-type Book struct {
+type Tracker struct {
 	cfg     Config
 	records map[Fingerprint]map[string]*record // by request and service
 	changed map[key]struct{}                   // to be told to other nodes
@@ -25,20 +25,20 @@
 	at time.Time
 }
 
-// NewBook returns an empty book.
-func NewBook(cfg Config) *Book {
-	return &Book{cfg: cfg, records: make(map[Fingerprint]map[string]*record), changed: make(map[key]struct{})}
+// NewTracker returns an empty book.
+func NewTracker(cfg Config) *Tracker {
+	return &Tracker{cfg: cfg, records: make(map[Fingerprint]map[string]*record), changed: make(map[key]struct{})}
 }
 
 // Changed reports whether there is anything to tell other nodes.
-func (b *Book) Changed() bool { return len(b.changed) > 0 }
+func (b *Tracker) Changed() bool { return len(b.changed) > 0 }
 
 // Empty reports whether nothing is remembered.
-func (b *Book) Empty() bool { return len(b.records) == 0 }
+func (b *Tracker) Empty() bool { return len(b.records) == 0 }
 
-// Fell notes a fall of an upstream of a service and the requests that it may have been
+// UpstreamCrashed notes a fall of an upstream of a service and the requests that it may have been
 // running. The ID tells it from other falls.
-func (b *Book) Fell(now time.Time, id uint64, service string, requests []Fingerprint) {
+func (b *Tracker) UpstreamCrashed(now time.Time, id uint64, service string, requests []Fingerprint) {
 	for _, r := range requests {
 		if r == 0 {
 			continue
@@ -56,7 +56,7 @@
 
 // clearIfAnswered clears a request of a fall that has just been heard of, if an upstream
 // has answered it a moment ago.
-func (b *Book) clearIfAnswered(now time.Time, k key) {
+func (b *Tracker) clearIfAnswered(now time.Time, k key) {
 	a := b.answers[k.place()]
 	if a.key == k && now.Sub(a.at) < b.cfg.AnsweredFor {
 		b.release(now, k)
@@ -67,7 +67,7 @@
 
 // Answered notes that an upstream of a service has answered a request, and so lives. It
 // reports whether that clears it of anything.
-func (b *Book) Answered(now time.Time, r Fingerprint, service string) bool {
+func (b *Tracker) Answered(now time.Time, r Fingerprint, service string) bool {
 	k := key{r, service}
 	b.answers[k.place()] = answer{k, now}
 	services, ok := b.records[r]
@@ -83,7 +83,7 @@
 }
 
 // release clears all falls of a record.
-func (b *Book) release(now time.Time, k key) {
+func (b *Tracker) release(now time.Time, k key) {
 	rec := b.record(now, k)
 	rec.seen, rec.good, rec.since = now, true, time.Time{}
 	rec.clear(slices.Clone(rec.falls)...)
@@ -92,7 +92,7 @@
 
 // Release lets a request through again at all services. It reports whether it was held
 // back.
-func (b *Book) Release(now time.Time, r Fingerprint) bool {
+func (b *Tracker) Release(now time.Time, r Fingerprint) bool {
 	held := false
 	for service, rec := range b.records[r] {
 		if len(rec.falls) > 0 {
@@ -105,16 +105,16 @@
 
 // Verdict says whether a request may run.
 type Verdict struct {
-	Held  bool
-	After time.Duration // until it may be tried again, if it is held
-	Probe bool          // it may run once, to see whether the upstream bears it
-	Falls int
+	Held    bool
+	After   time.Duration // until it may be tried again, if it is held
+	Probe   bool          // it may run once, to see whether the upstream bears it
+	Crashes int
 }
 
 // Check says whether a request may run at a service.
-func (b *Book) Check(now time.Time, r Fingerprint, service string) Verdict {
+func (b *Tracker) Check(now time.Time, r Fingerprint, service string) Verdict {
 	v := b.judge(now, r, service)
-	if v.Falls >= b.cfg.HoldAfter {
+	if v.Crashes >= b.cfg.HoldAfter {
 		for _, rec := range b.records[r] {
 			rec.seen = now
 		}
@@ -123,25 +123,25 @@
 }
 
 // judge is Check for one who does not ask for an attempt.
-func (b *Book) judge(now time.Time, r Fingerprint, service string) Verdict {
+func (b *Tracker) judge(now time.Time, r Fingerprint, service string) Verdict {
 	services, ok := b.records[r]
 	if !ok {
 		return Verdict{}
 	}
 	falls, last := weigh(services, service)
 	if falls < b.cfg.HoldAfter {
-		return Verdict{Falls: falls}
+		return Verdict{Crashes: falls}
 	}
 	number := falls - b.cfg.HoldAfter
 	if number >= len(b.cfg.Probes) {
-		return Verdict{Held: true, After: b.cfg.Memory, Falls: falls}
+		return Verdict{Held: true, After: b.cfg.Memory, Crashes: falls}
 	}
 	wait := b.cfg.Probes[number]
 	due := last.Add(wait + b.spread(r, wait))
 	if now.Before(due) {
-		return Verdict{Held: true, After: due.Sub(now), Falls: falls}
+		return Verdict{Held: true, After: due.Sub(now), Crashes: falls}
 	}
-	return Verdict{Probe: true, Falls: falls}
+	return Verdict{Probe: true, Crashes: falls}
 }
 
 // weigh counts what speaks against a request at a service, and says when it last ran
@@ -163,7 +163,7 @@
 // the first one has told the others when the next would try.
 const spreadShare = 0.5
 
-func (b *Book) spread(r Fingerprint, wait time.Duration) time.Duration {
+func (b *Tracker) spread(r Fingerprint, wait time.Duration) time.Duration {
 	const buckets = 1 << 16
 	at := float64(mix(uint64(r)^b.cfg.Seed)%buckets) / buckets
 	return time.Duration(spreadShare * at * float64(wait))
@@ -171,7 +171,7 @@
 
 // Start is Check for a request that is passed to an upstream now. A probe is noted, so
 // that no other follows before its end is known.
-func (b *Book) Start(now time.Time, r Fingerprint, service string) Verdict {
+func (b *Tracker) Start(now time.Time, r Fingerprint, service string) Verdict {
 	v := b.Check(now, r, service)
 	if v.Probe {
 		k := key{r, service}
@@ -184,7 +184,7 @@
 
 // Refused notes that a request was held back, and what it is. It reports whether that
 // has begun with it, at this node.
-func (b *Book) Refused(now time.Time, r Fingerprint, service string, about About) bool {
+func (b *Tracker) Refused(now time.Time, r Fingerprint, service string, about RequestInfo) bool {
 	rec := b.record(now, key{r, service})
 	rec.refused++
 	first := rec.since.IsZero()
--- a/internal/quarantine/book_test.go
+++ b/internal/quarantine/book_test.go
@@ -18,7 +18,7 @@
 
 // deadly sends the culprit every interval for a time and lets it end an upstream each
 // time that it may run. It returns when that was.
-func deadly(b *Book, every, during time.Duration) []time.Time {
+func deadly(b *Tracker, every, during time.Duration) []time.Time {
 	var runs []time.Time
 	for at := start; at.Before(start.Add(during)); at = at.Add(every) {
 		b.Sweep(at)
@@ -26,7 +26,7 @@
 			continue
 		}
 		runs = append(runs, at)
-		b.Fell(at.Add(time.Millisecond), uint64(len(runs)), shop, []Fingerprint{culprit, Fingerprint(100 + len(runs))})
+		b.UpstreamCrashed(at.Add(time.Millisecond), uint64(len(runs)), shop, []Fingerprint{culprit, Fingerprint(100 + len(runs))})
 	}
 	return runs
 }
@@ -35,7 +35,7 @@
 // request comes: seldom, often, for hours.
 func TestCulpritRunsAFewTimesInAll(t *testing.T) {
 	for _, every := range []time.Duration{70 * time.Millisecond, 2 * time.Second, 10 * time.Minute} {
-		b := NewBook(DefaultConfig())
+		b := NewTracker(DefaultConfig())
 		runs := deadly(b, every, 24*time.Hour)
 		assert.Assert(t, len(runs) <= 6, "every %v: runs at %v", every, runs)
 	}
@@ -43,7 +43,7 @@
 
 // One that was not seen for long may be mended, and is tried anew.
 func TestCulpritIsForgottenWhenItDoesNotCome(t *testing.T) {
-	b := NewBook(DefaultConfig())
+	b := NewTracker(DefaultConfig())
 	deadly(b, time.Second, time.Hour)
 	later := start.Add(time.Hour)
 	assert.Assert(t, b.Check(later, culprit, shop).Held)
@@ -55,9 +55,9 @@
 
 // A request that was cut at two falls beside the culprit is free after one answer.
 func TestAnswerClears(t *testing.T) {
-	b := NewBook(DefaultConfig())
+	b := NewTracker(DefaultConfig())
 	for id := range uint64(2) {
-		b.Fell(start, id, shop, []Fingerprint{culprit, innocent})
+		b.UpstreamCrashed(start, id, shop, []Fingerprint{culprit, innocent})
 	}
 	assert.Assert(t, b.Check(start, innocent, shop).Held)
 	later := start.Add(8 * time.Second)
@@ -66,34 +66,34 @@
 	assert.Assert(t, b.Start(later, innocent, shop).Held, "one probe at a time")
 	assert.Assert(t, b.Answered(later, innocent, shop))
 	assert.Equal(t, b.Check(later, innocent, shop), Verdict{})
-	b.Fell(later, 0, shop, []Fingerprint{innocent})
-	assert.Equal(t, b.Check(later, innocent, shop).Falls, 0, "a fall that is told again was cleared")
+	b.UpstreamCrashed(later, 0, shop, []Fingerprint{innocent})
+	assert.Equal(t, b.Check(later, innocent, shop).Crashes, 0, "a fall that is told again was cleared")
 }
 
 // A request that many send was answered a moment ago wherever upstreams fall under it.
 func TestAnswerClearsFallsThatFollow(t *testing.T) {
-	here, there := NewBook(DefaultConfig()), NewBook(DefaultConfig())
+	here, there := NewTracker(DefaultConfig()), NewTracker(DefaultConfig())
 	here.Answered(start, innocent, shop)
 	soon := start.Add(300 * time.Millisecond)
 	for id := range uint64(3) {
-		there.Fell(soon, id, shop, []Fingerprint{culprit, innocent})
+		there.UpstreamCrashed(soon, id, shop, []Fingerprint{culprit, innocent})
 	}
 	here.Merge(soon, there.Changes(soon))
 	assert.Assert(t, !here.Check(soon, innocent, shop).Held)
 	assert.Assert(t, here.Check(soon, culprit, shop).Held)
 	there.Merge(soon, here.Changes(soon))
-	assert.Equal(t, there.Check(soon, innocent, shop).Falls, 0)
+	assert.Equal(t, there.Check(soon, innocent, shop).Crashes, 0)
 	later := start.Add(2 * time.Second)
-	here.Fell(later, 9, shop, []Fingerprint{innocent})
-	assert.Equal(t, here.Check(later, innocent, shop).Falls, 1, "an answer of two seconds ago clears nothing")
+	here.UpstreamCrashed(later, 9, shop, []Fingerprint{innocent})
+	assert.Equal(t, here.Check(later, innocent, shop).Crashes, 1, "an answer of two seconds ago clears nothing")
 }
 
 // Where a route moves to another service, or gives a part to a later release, falls
 // count until the request is answered there; an answer elsewhere clears nothing here.
 func TestFallsOfAnotherService(t *testing.T) {
-	b := NewBook(DefaultConfig())
-	b.Fell(start, 1, shop, []Fingerprint{culprit})
-	b.Fell(start, 2, shop, []Fingerprint{culprit})
+	b := NewTracker(DefaultConfig())
+	b.UpstreamCrashed(start, 1, shop, []Fingerprint{culprit})
+	b.UpstreamCrashed(start, 2, shop, []Fingerprint{culprit})
 	assert.Assert(t, b.Check(start, culprit, "shop-later").Held)
 	b.Answered(start, culprit, "shop-later")
 	assert.Assert(t, !b.Check(start, culprit, "shop-later").Held)
@@ -102,7 +102,7 @@
 
 // An operator lets a request through at all services.
 func TestRelease(t *testing.T) {
-	b := NewBook(DefaultConfig())
+	b := NewTracker(DefaultConfig())
 	deadly(b, time.Second, time.Hour)
 	now := start.Add(time.Hour)
 	assert.Assert(t, !b.Release(now, innocent))
@@ -115,10 +115,10 @@
 func TestRoomIsBounded(t *testing.T) {
 	cfg := DefaultConfig()
 	cfg.MaxRecords = 50
-	b := NewBook(cfg)
+	b := NewTracker(cfg)
 	deadly(b, time.Second, time.Minute)
 	for i := range 1000 {
-		b.Fell(start.Add(time.Minute), uint64(1000+i), shop, []Fingerprint{Fingerprint(5000 + i), Fingerprint(9000 + i)})
+		b.UpstreamCrashed(start.Add(time.Minute), uint64(1000+i), shop, []Fingerprint{Fingerprint(5000 + i), Fingerprint(9000 + i)})
 	}
 	assert.Equal(t, b.count(), cfg.MaxRecords)
 	assert.Assert(t, b.Check(start.Add(time.Minute), culprit, shop).Held)
@@ -128,7 +128,7 @@
 // each other.
 type fleetOfBooks struct {
 	now   time.Time
-	books []*Book
+	books []*Tracker
 	// at and cleared are the falls of each request, and those after which it was answered
 	// by a node that knew of them.
 	at, cleared map[Fingerprint]map[uint64]bool
@@ -151,14 +151,14 @@
 	return Fingerprint(rapid.IntRange(1, machineRequests).Draw(t, "request"))
 }
 
-func (m *fleetOfBooks) book(t *rapid.T) *Book {
+func (m *fleetOfBooks) book(t *rapid.T) *Tracker {
 	return m.books[rapid.IntRange(0, machineBooks-1).Draw(t, "book")]
 }
 
 func (m *fleetOfBooks) fall(t *rapid.T) {
 	m.falls++
 	requests := rapid.SliceOfN(rapid.Custom(drawRequest), 1, machineRequests).Draw(t, "requests")
-	m.book(t).Fell(m.now, m.falls, shop, requests)
+	m.book(t).UpstreamCrashed(m.now, m.falls, shop, requests)
 	for _, r := range requests {
 		m.at[r][m.falls] = true
 	}
@@ -190,7 +190,7 @@
 
 // restart makes a book forget all, as its process ends.
 func (m *fleetOfBooks) restart(t *rapid.T) {
-	m.books[rapid.IntRange(1, machineBooks-1).Draw(t, "book")] = NewBook(machineConfig())
+	m.books[rapid.IntRange(1, machineBooks-1).Draw(t, "book")] = NewTracker(machineConfig())
 }
 
 // against counts what speaks against a request if all is known.
@@ -209,7 +209,7 @@
 func (m *fleetOfBooks) check(t *rapid.T) {
 	for _, b := range m.books {
 		for r := Fingerprint(1); r <= machineRequests; r++ {
-			if falls := b.Check(m.now, r, shop).Falls; falls > len(m.at[r]) {
+			if falls := b.Check(m.now, r, shop).Crashes; falls > len(m.at[r]) {
 				t.Fatalf("request %d was at %d falls, a book has %d", r, len(m.at[r]), falls)
 			}
 		}
@@ -222,7 +222,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		m := &fleetOfBooks{now: start, at: make(map[Fingerprint]map[uint64]bool), cleared: make(map[Fingerprint]map[uint64]bool)}
 		for range machineBooks {
-			m.books = append(m.books, NewBook(machineConfig()))
+			m.books = append(m.books, NewTracker(machineConfig()))
 		}
 		for r := Fingerprint(1); r <= machineRequests; r++ {
 			m.at[r], m.cleared[r] = make(map[uint64]bool), make(map[uint64]bool)
@@ -248,7 +248,7 @@
 				if restarts || len(m.at[r]) > maxFalls {
 					continue // some of what was known may be lost
 				}
-				if got, want := b.Check(m.now, r, shop).Falls, m.against(r); got != want {
+				if got, want := b.Check(m.now, r, shop).Crashes, m.against(r); got != want {
 					t.Fatalf("request %d: %d falls count, want %d", r, got, want)
 				}
 			}
@@ -258,15 +258,15 @@
 
 // The fingerprint tells what callers ask for, and nothing else.
 func TestFingerprints(t *testing.T) {
-	base := Request{About: About{Method: "POST", Host: "a.example", Target: "/x?y=1", Tenant: "t"}, Body: []byte("body")}
+	base := Request{RequestInfo: RequestInfo{Method: "POST", Host: "a.example", Target: "/x?y=1", Tenant: "t"}, Body: []byte("body")}
 	others := map[string]Request{
-		"method": {About: About{Method: "PUT", Host: base.Host, Target: base.Target, Tenant: base.Tenant}, Body: base.Body},
-		"host":   {About: About{Method: base.Method, Host: "b.example", Target: base.Target, Tenant: base.Tenant}, Body: base.Body},
-		"query":  {About: About{Method: base.Method, Host: base.Host, Target: "/x?y=2", Tenant: base.Tenant}, Body: base.Body},
-		"tenant": {About: About{Method: base.Method, Host: base.Host, Target: base.Target, Tenant: "u"}, Body: base.Body},
-		"body":   {About: About{Method: base.Method, Host: base.Host, Target: base.Target, Tenant: base.Tenant}, Body: []byte("bode")},
-		"parts":  {About: About{Method: base.Method, Host: "a.example/x", Target: "?y=1", Tenant: base.Tenant}, Body: base.Body},
-		"unread": {About: About{Method: base.Method, Host: base.Host, Target: base.Target, Tenant: base.Tenant}, Length: 4},
+		"method": {RequestInfo: RequestInfo{Method: "PUT", Host: base.Host, Target: base.Target, Tenant: base.Tenant}, Body: base.Body},
+		"host":   {RequestInfo: RequestInfo{Method: base.Method, Host: "b.example", Target: base.Target, Tenant: base.Tenant}, Body: base.Body},
+		"query":  {RequestInfo: RequestInfo{Method: base.Method, Host: base.Host, Target: "/x?y=2", Tenant: base.Tenant}, Body: base.Body},
+		"tenant": {RequestInfo: RequestInfo{Method: base.Method, Host: base.Host, Target: base.Target, Tenant: "u"}, Body: base.Body},
+		"body":   {RequestInfo: RequestInfo{Method: base.Method, Host: base.Host, Target: base.Target, Tenant: base.Tenant}, Body: []byte("bode")},
+		"parts":  {RequestInfo: RequestInfo{Method: base.Method, Host: "a.example/x", Target: "?y=1", Tenant: base.Tenant}, Body: base.Body},
+		"unread": {RequestInfo: RequestInfo{Method: base.Method, Host: base.Host, Target: base.Target, Tenant: base.Tenant}, Length: 4},
 	}
 	assert.Equal(t, base.Fingerprint(), base.Fingerprint())
 	for name, r := range others {
--- a/internal/quarantine/fingerprint.go
+++ b/internal/quarantine/fingerprint.go
@@ -14,8 +14,8 @@
 // for a request that has none.
 type Fingerprint uint64
 
-// About is what a caller asks for, but for the body.
-type About struct {
+// RequestInfo is what a caller asks for, but for the body.
+type RequestInfo struct {
 	Method string
 	Host   string
 	Target string // path and query as the caller wrote them
@@ -24,7 +24,7 @@
 
 // Request is what makes two attempts the same request.
 type Request struct {
-	About
+	RequestInfo
 	Body []byte
 	// Length stands for a body that is not read before the request is passed on; 0 if
 	// Body has it, negative if the length is not known.
--- a/internal/quarantine/memory.go
+++ b/internal/quarantine/memory.go
@@ -6,7 +6,7 @@
 )
 
 // record returns the record of a request at a service, new if there is none.
-func (b *Book) record(now time.Time, k key) *record {
+func (b *Tracker) record(now time.Time, k key) *record {
 	services, ok := b.records[k.request]
 	if !ok {
 		services = make(map[string]*record)
@@ -21,7 +21,7 @@
 	return rec
 }
 
-func (b *Book) forget(k key) {
+func (b *Tracker) forget(k key) {
 	delete(b.records[k.request], k.service)
 	if len(b.records[k.request]) == 0 {
 		delete(b.records, k.request)
@@ -30,7 +30,7 @@
 }
 
 // count returns the number of records.
-func (b *Book) count() int {
+func (b *Tracker) count() int {
 	n := 0
 	for _, services := range b.records {
 		n += len(services)
@@ -39,7 +39,7 @@
 }
 
 // Sweep forgets what was not seen for long. Call it now and then.
-func (b *Book) Sweep(now time.Time) {
+func (b *Tracker) Sweep(now time.Time) {
 	for r, services := range b.records {
 		for service, rec := range services {
 			if now.Sub(rec.seen) > b.memory(rec.falls) {
@@ -50,7 +50,7 @@
 }
 
 // memory is how long a request with such falls is remembered.
-func (b *Book) memory(falls []uint64) time.Duration {
+func (b *Tracker) memory(falls []uint64) time.Duration {
 	if len(falls) == 0 {
 		return b.cfg.ClearedMemory
 	}
@@ -58,7 +58,7 @@
 }
 
 // makeRoom forgets what speaks least against a request, until the rest fits.
-func (b *Book) makeRoom(now time.Time) {
+func (b *Tracker) makeRoom(now time.Time) {
 	if b.count() <= b.cfg.MaxRecords {
 		return
 	}
--- a/internal/quarantine/merge.go
+++ b/internal/quarantine/merge.go
@@ -24,7 +24,7 @@
 }
 
 // Records returns all that is remembered, in a fixed order.
-func (b *Book) Records(now time.Time) []Record {
+func (b *Tracker) Records(now time.Time) []Record {
 	var out []Record
 	for r, services := range b.records {
 		for service := range services {
@@ -36,7 +36,7 @@
 }
 
 // Changes returns the records that have changed here since they were last asked for.
-func (b *Book) Changes(now time.Time) []Record {
+func (b *Tracker) Changes(now time.Time) []Record {
 	out := make([]Record, 0, len(b.changed))
 	for k := range b.changed {
 		out = append(out, b.tell(now, k))
@@ -46,7 +46,7 @@
 	return out
 }
 
-func (b *Book) tell(now time.Time, k key) Record {
+func (b *Tracker) tell(now time.Time, k key) Record {
 	rec := b.records[k.request][k.service]
 	return Record{
 		Request: k.request,
@@ -70,7 +70,7 @@
 }
 
 // Merge takes over what another node remembers.
-func (b *Book) Merge(now time.Time, told []Record) {
+func (b *Tracker) Merge(now time.Time, told []Record) {
 	for _, t := range told {
 		if t.Request != 0 && t.SeenMs >= 0 && t.LastMs >= 0 && t.SeenMs < b.memory(t.Falls).Milliseconds() {
 			b.mergeOne(now, t)
@@ -79,7 +79,7 @@
 	b.makeRoom(now)
 }
 
-func (b *Book) mergeOne(now time.Time, t Record) {
+func (b *Tracker) mergeOne(now time.Time, t Record) {
 	seen := now.Add(-time.Duration(t.SeenMs) * time.Millisecond)
 	k := key{t.Request, t.Service}
 	rec := b.record(seen, k)
@@ -99,7 +99,7 @@
 }
 
 // Digest is the same for two books that remember the same falls and answers.
-func (b *Book) Digest() uint64 {
+func (b *Tracker) Digest() uint64 {
 	var sum uint64
 	for r, services := range b.records {
 		for service, rec := range services {
--- a/internal/quarantine/operators.go
+++ b/internal/quarantine/operators.go
@@ -5,33 +5,35 @@
 	"time"
 )
 
-// HeldRequest is a request that is held back, for operators.
-type HeldRequest struct {
-	Request Fingerprint
-	Service string
-	Falls   int
-	Since   time.Duration // that it has been held back here
-	After   time.Duration // until it is tried again here; 0 if that is due
-	Refused int64         // attempts, here
-	About   About
+// QuarantinedRequest is a request that is held back, for operators.
+type QuarantinedRequest struct {
+	Request    Fingerprint
+	Service    string
+	Crashes    int
+	HeldFor    time.Duration // that it has been held back here
+	RetryAfter time.Duration // until it is tried again here; 0 if that is due
+	Refused    int64         // attempts, here
+	About      RequestInfo
 }
 
-// HeldBack lists the requests that are held back, by fingerprint.
-func (b *Book) HeldBack(now time.Time) []HeldRequest {
-	var out []HeldRequest
+// Quarantined lists the requests that are held back, by fingerprint.
+func (b *Tracker) Quarantined(now time.Time) []QuarantinedRequest {
+	var out []QuarantinedRequest
 	for r, services := range b.records {
 		for service, rec := range services {
 			v := b.judge(now, r, service)
 			if !v.Held && !v.Probe {
 				continue
 			}
-			h := HeldRequest{Request: r, Service: service, Falls: v.Falls, Refused: rec.refused, About: rec.about, After: v.After}
+			h := QuarantinedRequest{Request: r, Service: service, Crashes: v.Crashes, Refused: rec.refused, About: rec.about, RetryAfter: v.After}
 			if !rec.since.IsZero() {
-				h.Since = now.Sub(rec.since)
+				h.HeldFor = now.Sub(rec.since)
 			}
 			out = append(out, h)
 		}
 	}
-	slices.SortFunc(out, func(a, c HeldRequest) int { return compareKeys(key{a.Request, a.Service}, key{c.Request, c.Service}) })
+	slices.SortFunc(out, func(a, c QuarantinedRequest) int {
+		return compareKeys(key{a.Request, a.Service}, key{c.Request, c.Service})
+	})
 	return out
 }
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -29,7 +29,7 @@
 	seen    time.Time
 	since   time.Time // when it was first held back here
 	refused int64
-	about   About
+	about   RequestInfo
 }
 
 // add adds a fall that is not known yet. Of too many the least IDs are kept, so that all
--- a/internal/quota/borrower.go
+++ b/internal/quota/borrower.go
@@ -34,7 +34,7 @@
 }
 
 // Count is what became of requests of a customer at a node.
-type Count struct{ Taken, Refused int64 }
+type Count struct{ Admitted, Refused int64 }
 
 // Count returns what became of the requests of a customer, since it was last forgotten.
 func (b *Borrower) Count(customer string) Count {
@@ -63,10 +63,10 @@
 const (
 	// Allowed requests have taken a token.
 	Allowed Verdict = iota
-	// AllowedAsk is Allowed, and tokens for the next ones should be asked for.
-	AllowedAsk
-	// MustAsk requests wait for the answer of the home, and are taken again then.
-	MustAsk
+	// AllowedAndBorrow is Allowed, and tokens for the next ones should be asked for.
+	AllowedAndBorrow
+	// MustBorrow requests wait for the answer of the home, and are taken again then.
+	MustBorrow
 	// Refused requests are over the limit.
 	Refused
 )
@@ -75,15 +75,15 @@
 // steady demand a quarter of a lease is left for the answer.
 const refillShare = 2
 
-// Take takes a request of a customer into its limit, at one of so many nodes. With Refused,
+// Admit takes a request of a customer into its limit, at one of so many nodes. With Refused,
 // after is the time until there may be room.
-func (b *Borrower) Take(now time.Time, customer string, limit Limit, nodes int) (v Verdict, after time.Duration) {
+func (b *Borrower) Admit(now time.Time, customer string, limit Limit, nodes int) (v Verdict, after time.Duration) {
 	a := b.account(now, customer)
 	a.note(now)
 	v, after = b.verdict(now, a, limit, nodes)
 	switch v {
-	case Allowed, AllowedAsk:
-		a.count.Taken++
+	case Allowed, AllowedAndBorrow:
+		a.count.Admitted++
 	case Refused:
 		a.count.Refused++
 	}
@@ -95,7 +95,7 @@
 	case a.lent > 0 && now.Before(a.until):
 		a.lent--
 		if !a.asking && a.lent < a.want()/refillShare && !now.Before(a.quiet) {
-			return AllowedAsk, 0
+			return AllowedAndBorrow, 0
 		}
 		return Allowed, 0
 	case now.Before(a.unreached):
@@ -105,7 +105,7 @@
 	}
 	a.lent = 0
 	a.waiting++
-	return MustAsk, 0
+	return MustBorrow, 0
 }
 
 // takeReserve takes a request into the node's part of the limit, as the home is not
@@ -140,20 +140,20 @@
 	return max(int(a.demand*Lease.Seconds()/leaseShare), a.waiting, 1)
 }
 
-// Ask notes that the home is asked, and returns for what.
-func (b *Borrower) Ask(now time.Time, customer string) Request {
+// StartBorrowing notes that the home is asked, and returns for what.
+func (b *Borrower) StartBorrowing(now time.Time, customer string) Request {
 	a := b.account(now, customer)
 	r := Request{Want: a.want(), Spent: a.spent}
 	a.asking, a.waiting, a.spent = true, 0, 0
 	return r
 }
 
-// Granted takes over what was lent on a request sent at a time: the lease counts from
+// ApplyGrant takes over what was lent on a request sent at a time: the lease counts from
 // then, as it may have been lent that early.
-func (b *Borrower) Granted(now, sent time.Time, customer string, r Request, g Grant) {
+func (b *Borrower) ApplyGrant(now, sent time.Time, customer string, r Request, g Grant) {
 	a := b.account(now, customer)
 	a.asking, a.unreached = false, time.Time{}
-	if g.Deputy {
+	if g.FromStandby {
 		a.spent += r.Spent + g.Tokens
 	}
 	if g.Tokens == 0 {
@@ -174,8 +174,8 @@
 // the reserve, without a further question: each costs the time of one.
 const unreachedMemory = 300 * time.Millisecond
 
-// Unreached notes that neither the home nor its deputy answered a request.
-func (b *Borrower) Unreached(now time.Time, customer string, r Request) {
+// OwnerUnreachable notes that neither the home nor its deputy answered a request.
+func (b *Borrower) OwnerUnreachable(now time.Time, customer string, r Request) {
 	a := b.account(now, customer)
 	a.asking, a.unreached = false, now.Add(unreachedMemory)
 	a.spent += r.Spent
--- a/internal/quota/fleet_test.go
+++ b/internal/quota/fleet_test.go
@@ -53,7 +53,7 @@
 	for _, n := range f.nodes {
 		names = append(names, n.name)
 	}
-	h, d := Homes("customer", slices.Values(names))
+	h, d := Owners("customer", slices.Values(names))
 	for _, n := range f.nodes {
 		switch n.name {
 		case h:
@@ -75,17 +75,17 @@
 // ask is what a node does to borrow.
 func (f *fleet) ask(now time.Time, n *node) {
 	home, deputy := f.home()
-	want := n.borrower.Ask(now, "customer")
+	want := n.borrower.StartBorrowing(now, "customer")
 	switch {
 	case reaches(now, n, home):
-		n.borrower.Granted(now, now, "customer", want, home.lender.Lend(now, home.since, "customer", f.limit, want))
+		n.borrower.ApplyGrant(now, now, "customer", want, home.lender.Lend(now, home.since, "customer", f.limit, want))
 	case reaches(now, n, deputy) && reaches(now, deputy, home):
-		n.borrower.Granted(now, now, "customer", want, home.lender.Lend(now, home.since, "customer", f.limit, want))
+		n.borrower.ApplyGrant(now, now, "customer", want, home.lender.Lend(now, home.since, "customer", f.limit, want))
 	case reaches(now, n, deputy):
-		g := deputy.lender.LendAsDeputy(now, "customer", f.limit, want.Want)
-		n.borrower.Granted(now, now, "customer", want, g)
+		g := deputy.lender.LendAsStandby(now, "customer", f.limit, want.Want)
+		n.borrower.ApplyGrant(now, now, "customer", want, g)
 	default:
-		n.borrower.Unreached(now, "customer", want)
+		n.borrower.OwnerUnreachable(now, "customer", want)
 	}
 }
 
@@ -94,7 +94,7 @@
 	for _, n := range f.nodes {
 		if !n.frozen.IsZero() && !now.Before(n.frozen) {
 			n.frozen = time.Time{}
-			n.lender.Interrupted(now)
+			n.lender.Paused(now)
 		}
 	}
 }
@@ -112,14 +112,14 @@
 		n.borrower.account(now, "customer").unreached = now.Add(time.Second)
 	}
 	for range 4 {
-		v, _ := n.borrower.Take(now, "customer", f.limit, len(f.nodes))
-		if v == Allowed || v == AllowedAsk {
+		v, _ := n.borrower.Admit(now, "customer", f.limit, len(f.nodes))
+		if v == Allowed || v == AllowedAndBorrow {
 			f.sent = append(f.sent, now.Sub(epoch))
 		}
 		switch v {
 		case Allowed:
 			return true
-		case AllowedAsk:
+		case AllowedAndBorrow:
 			f.ask(now, n)
 			return true
 		case Refused:
@@ -260,28 +260,28 @@
 func TestTokensLapse(t *testing.T) {
 	b := NewBorrower(rand.New(rand.NewPCG(1, 1)))
 	limit := Limit{Rate: 10, Burst: 10}
-	b.Ask(epoch, "c")
-	b.Granted(epoch, epoch, "c", Request{}, Grant{Tokens: 5})
-	v, _ := b.Take(epoch.Add(Lease-time.Millisecond), "c", limit, 10)
+	b.StartBorrowing(epoch, "c")
+	b.ApplyGrant(epoch, epoch, "c", Request{}, Grant{Tokens: 5})
+	v, _ := b.Admit(epoch.Add(Lease-time.Millisecond), "c", limit, 10)
 	assert.Equal(t, v, Allowed)
-	v, _ = b.Take(epoch.Add(Lease), "c", limit, 10)
-	assert.Equal(t, v, MustAsk)
+	v, _ = b.Admit(epoch.Add(Lease), "c", limit, 10)
+	assert.Equal(t, v, MustBorrow)
 }
 
 // A request that did not run gives its token back, within the lease alone.
 func TestReturnedTokenIsSpentAgain(t *testing.T) {
 	b := NewBorrower(rand.New(rand.NewPCG(1, 1)))
 	limit := Limit{Rate: 10, Burst: 10}
-	b.Ask(epoch, "c")
-	b.Granted(epoch, epoch, "c", Request{}, Grant{Tokens: 1})
-	v, _ := b.Take(epoch, "c", limit, 10)
+	b.StartBorrowing(epoch, "c")
+	b.ApplyGrant(epoch, epoch, "c", Request{}, Grant{Tokens: 1})
+	v, _ := b.Admit(epoch, "c", limit, 10)
 	assert.Equal(t, v, Allowed)
 	b.Return(epoch, "c")
-	v, _ = b.Take(epoch, "c", limit, 10)
+	v, _ = b.Admit(epoch, "c", limit, 10)
 	assert.Equal(t, v, Allowed)
 	b.Return(epoch.Add(Lease), "c")
-	v, _ = b.Take(epoch.Add(Lease), "c", limit, 10)
-	assert.Equal(t, v, MustAsk)
+	v, _ = b.Admit(epoch.Add(Lease), "c", limit, 10)
+	assert.Equal(t, v, MustBorrow)
 }
 
 // While a home stood still its deputy lent in its place, so it goes on from empty buckets,
@@ -292,12 +292,12 @@
 	g := l.Lend(epoch.Add(10*time.Second), epoch, "c", limit, Request{Want: 1})
 	assert.Equal(t, g.Tokens, 1)
 	woken := epoch.Add(20 * time.Second)
-	l.Interrupted(woken)
+	l.Paused(woken)
 	g = l.Lend(woken, epoch, "c", limit, Request{Want: 10})
 	assert.Equal(t, g.Tokens, 0)
 	assert.Assert(t, g.After > 0)
 	g = l.Lend(woken.Add(time.Second), epoch, "c", limit, Request{Want: 10, Spent: 12})
 	assert.Equal(t, g.Tokens, 0)
-	l.Interrupted(woken.Add(time.Second))
+	l.Paused(woken.Add(time.Second))
 	assert.Assert(t, l.Tokens(woken.Add(time.Second), "c") < 0)
 }
--- a/internal/quota/home.go
+++ b/internal/quota/home.go
@@ -7,10 +7,10 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Homes returns the home of a customer among nodes and the deputy that is asked where the
+// Owners returns the home of a customer among nodes and the deputy that is asked where the
 // home is not reached, by rendezvous hashing: when a node goes or comes, only its own
 // customers move. Both are empty where there are too few nodes.
-func Homes(customer string, nodes iter.Seq[string]) (home, deputy string) {
+func Owners(customer string, nodes iter.Seq[string]) (home, deputy string) {
 	best, second := uint64(0), uint64(0)
 	var h xxhash.Digest
 	for n := range nodes {
--- a/internal/quota/lender.go
+++ b/internal/quota/lender.go
@@ -24,9 +24,9 @@
 type Grant struct {
 	Tokens int           `cbor:"1,keyasint"`
 	After  time.Duration `cbor:"2,keyasint"` // until there may be more, if it lent none
-	// Deputy says that the deputy lent them, as it did not reach the home either. Whoever
+	// FromStandby says that the deputy lent them, as it did not reach the home either. Whoever
 	// spends them tells the home of it.
-	Deputy bool `cbor:"3,keyasint,omitempty"`
+	FromStandby bool `cbor:"3,keyasint,omitempty"`
 }
 
 // fairShare is the part of what is left that one request for tokens may take, as a divisor:
@@ -65,12 +65,12 @@
 // those who reach it, and a node that ends tells nobody what it spent.
 const deputyShare = 0.75
 
-// LendAsDeputy is Lend for a node that does not reach the home. What was spent beside the
+// LendAsStandby is Lend for a node that does not reach the home. What was spent beside the
 // home is for the home to be told: most of it was lent by the deputy.
-func (l *Lender) LendAsDeputy(now time.Time, customer string, limit Limit, want int) Grant {
+func (l *Lender) LendAsStandby(now time.Time, customer string, limit Limit, want int) Grant {
 	limit.Rate *= deputyShare
 	g := l.Lend(now, now, customer, limit, Request{Want: want})
-	g.Deputy = true
+	g.FromStandby = true
 	return g
 }
 
@@ -93,9 +93,9 @@
 	return time.Duration(min(l.asks/l.limit.Rate*turnTime.Seconds(), Lease.Seconds()) * float64(time.Second))
 }
 
-// Interrupted notes that this node stood still: others may have lent meanwhile what its
+// Paused notes that this node stood still: others may have lent meanwhile what its
 // buckets would have gained.
-func (l *Lender) Interrupted(now time.Time) {
+func (l *Lender) Paused(now time.Time) {
 	for _, b := range l.customers {
 		b.tokens, b.at = min(b.tokens, 0), now
 	}
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -47,9 +47,9 @@
 // NotRun reports whether the request is known not to have run.
 func (c Class) NotRun() bool { return c != Answered && c != Ambiguous }
 
-// Arrived reports whether the request may have reached an upstream, and so
+// MayHaveReachedUpstream reports whether the request may have reached an upstream, and so
 // counts against the budget and the number of tries.
-func (c Class) Arrived() bool { return c == Answered || c == Rejected || c == Ambiguous }
+func (c Class) MayHaveReachedUpstream() bool { return c == Answered || c == Rejected || c == Ambiguous }
 
 // Policy holds the numbers of the decision.
 type Policy struct {
@@ -82,8 +82,8 @@
 // NewBudget returns a full budget.
 func NewBudget(p Policy) *Budget { return &Budget{policy: p, tokens: p.Reserve} }
 
-// Earn counts a first try.
-func (b *Budget) Earn() { b.tokens = min(b.tokens+b.policy.Ratio, b.policy.Reserve) }
+// Deposit counts a first try.
+func (b *Budget) Deposit() { b.tokens = min(b.tokens+b.policy.Ratio, b.policy.Reserve) }
 
 // Try is a failed try that asks for another.
 type Try struct {
@@ -99,8 +99,8 @@
 	Remaining time.Duration
 	// Replayable says that the request body can be sent again.
 	Replayable bool
-	// Everywhere says that all upstreams would refuse the request alike.
-	Everywhere bool
+	// RefusedEverywhere says that all upstreams would refuse the request alike.
+	RefusedEverywhere bool
 }
 
 // Reason says why no further try is made.
@@ -108,7 +108,7 @@
 
 // The reasons.
 const (
-	Go           Reason = ""
+	Allowed      Reason = ""
 	ReasonDone   Reason = "answered"
 	ReasonMayRun Reason = "may-have-run"
 	ReasonTries  Reason = "tries-used"
@@ -122,14 +122,14 @@
 	ReasonNoUpstream Reason = "no-upstream"
 )
 
-// Again decides whether another try may follow, and takes it from the budget.
-func (b *Budget) Again(t Try) Reason {
+// Decide decides whether another try may follow, and takes it from the budget.
+func (b *Budget) Decide(t Try) Reason {
 	switch {
 	case t.Class == Answered:
 		return ReasonDone
 	case !t.Class.NotRun() && !t.Idempotent:
 		return ReasonMayRun
-	case t.Everywhere:
+	case t.RefusedEverywhere:
 		return ReasonEverywhere
 	case b.exhausted(t):
 		return ReasonTries
@@ -138,11 +138,11 @@
 	case !t.Replayable:
 		return ReasonBody
 	case b.policy.FreeTries > 0 && t.Arrived == 0:
-		return Go
-	case !b.Take():
+		return Allowed
+	case !b.Withdraw():
 		return ReasonBudget
 	}
-	return Go
+	return Allowed
 }
 
 // exhausted reports whether no try is left by their number.
@@ -156,8 +156,8 @@
 // Return gives back a retry that was taken and not made.
 func (b *Budget) Return() { b.tokens = min(b.tokens+1, b.policy.Reserve) }
 
-// Take takes one retry, and reports whether one was left.
-func (b *Budget) Take() bool {
+// Withdraw takes one retry, and reports whether one was left.
+func (b *Budget) Withdraw() bool {
 	if b.tokens < 1 {
 		return false
 	}
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -19,13 +19,13 @@
 		change func(*Try)
 		want   Reason
 	}{
-		{"refused", func(*Try) {}, Go},
-		{"limited", func(t *Try) { t.Class = Limited }, Go},
-		{"never dispatched", func(t *Try) { t.Class = NeverDispatched }, Go},
+		{"refused", func(*Try) {}, Allowed},
+		{"limited", func(t *Try) { t.Class = Limited }, Allowed},
+		{"never dispatched", func(t *Try) { t.Class = NeverDispatched }, Allowed},
 		{"answered", func(t *Try) { t.Class = Answered }, ReasonDone},
 		{"ambiguous", func(t *Try) { t.Class = Ambiguous }, ReasonMayRun},
-		{"ambiguous but idempotent", func(t *Try) { t.Class = Ambiguous; t.Idempotent = true }, Go},
-		{"refused everywhere", func(t *Try) { t.Everywhere = true }, ReasonEverywhere},
+		{"ambiguous but idempotent", func(t *Try) { t.Class = Ambiguous; t.Idempotent = true }, Allowed},
+		{"refused everywhere", func(t *Try) { t.RefusedEverywhere = true }, ReasonEverywhere},
 		{"tries used", func(t *Try) { t.Number = 2 }, ReasonTries},
 		{"no time", func(t *Try) { t.Remaining = time.Millisecond }, ReasonTime},
 		{"body gone", func(t *Try) { t.Replayable = false }, ReasonBody},
@@ -34,7 +34,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			try := goodTry()
 			c.change(&try)
-			assert.Equal(t, NewBudget(DefaultPolicy()).Again(try), c.want)
+			assert.Equal(t, NewBudget(DefaultPolicy()).Decide(try), c.want)
 		})
 	}
 }
@@ -47,12 +47,12 @@
 		b := NewBudget(p)
 		first, again := 0, 0
 		t.Repeat(map[string]func(*rapid.T){
-			"first": func(*rapid.T) { b.Earn(); first++ },
+			"first": func(*rapid.T) { b.Deposit(); first++ },
 			"fail": func(t *rapid.T) {
 				try := goodTry()
 				try.Class = Class(rapid.IntRange(0, int(Ambiguous)).Draw(t, "class"))
 				try.Idempotent = rapid.Bool().Draw(t, "idempotent")
-				if b.Again(try) == Go {
+				if b.Decide(try) == Allowed {
 					again++
 					assert.Assert(t, try.Class.NotRun() || try.Idempotent)
 				}
@@ -81,7 +81,7 @@
 			c := call(level + 1)
 			try := goodTry()
 			try.Class, try.Number = c, n
-			if b.Again(try) != Go {
+			if b.Decide(try) != Allowed {
 				if marked && level > 0 {
 					return Answered
 				}
--- a/internal/routing/candidate.go
+++ b/internal/routing/candidate.go
@@ -23,11 +23,11 @@
 	Wait time.Duration
 	// Late says that the request is more likely late than not there.
 	Late bool
-	// Left is the time to the objective of the request, less that of the way.
-	Left time.Duration
-	// Patience is how long the request may wait there for a slot; 0 means any
+	// TimeLeft is the time to the objective of the request, less that of the way.
+	TimeLeft time.Duration
+	// MaxWait is how long the request may wait there for a slot; 0 means any
 	// time.
-	Patience time.Duration
+	MaxWait time.Duration
 	// Trial says that nothing recent is known of the upstream.
 	Trial bool
 }
@@ -38,10 +38,10 @@
 	Pinned  string   // the one upstream that may run it; empty for any
 	Tried   []string // upstreams already tried for this request
 	Kind    string   // class of request, for the wait told of it
-	// Aim is when the request should be answered; zero if it has no objective.
-	Aim time.Time
-	// Returned says that it was refused before and came back.
-	Returned bool
+	// ObjectiveDeadline is when the request should be answered; zero if it has no objective.
+	ObjectiveDeadline time.Time
+	// CallerRetry says that it was refused before and came back.
+	CallerRetry bool
 }
 
 // Exclusion says why an upstream gets no request now.
@@ -58,13 +58,13 @@
 	NotPinned       Exclusion = "route is pinned to another upstream"
 	Evacuated       Exclusion = "its data centre is evacuated"
 	ColdFull        Exclusion = "is cold and has got what it can take from this node"
-	Denied          Exclusion = "its address answers for another instance"
+	WrongInstance   Exclusion = "its address answers for another instance"
 	Ejected         Exclusion = "left out after failures"                 // soft
-	Silent          Exclusion = "requests wait and none is answered"      // soft
+	Unresponsive    Exclusion = "requests wait and none is answered"      // soft
 	SuspectInstance Exclusion = "instance does not answer its neighbours" // soft
 )
 
-func (x Exclusion) soft() bool { return x == Ejected || x == Silent || x == SuspectInstance }
+func (x Exclusion) soft() bool { return x == Ejected || x == Unresponsive || x == SuspectInstance }
 
 // judge fills in the verdict on the upstream of a candidate.
 func (r *Router) judge(c *Candidate, now time.Time, req Request, members Members) {
@@ -79,7 +79,7 @@
 	c.Weight = u.Weight * e.ramp(r.cfg, now) * r.distance(m.Instance)
 	slots := float64(max(u.Concurrency, e.told.Slots, 1))
 	c.Cost = (e.busy(r.cfg, now) + 1) / slots
-	if r.cfg.ByTime {
+	if r.cfg.ByExpectedTime {
 		c.aim(now, e, req, slots)
 		c.Wait = e.wait(now, overload.QueueKind(req.Kind, c.Late))
 		c.Cost = r.expected(e, c.Cost, slots, c.Wait, m.Instance) + e.wayTime(now)
@@ -91,14 +91,14 @@
 // aim works out whether the request can be in time at the upstream and how long
 // it may wait there.
 func (c *Candidate) aim(now time.Time, e *evidence, req Request, slots float64) {
-	if req.Aim.IsZero() {
+	if req.ObjectiveDeadline.IsZero() {
 		return
 	}
 	runs := e.runTimes(now, req.Kind)
-	c.Left = req.Aim.Sub(now) - time.Duration(e.wayTime(now)*float64(time.Second))
-	c.Late = overload.Late(req.Returned, c.Left, runs.Typical)
+	c.TimeLeft = req.ObjectiveDeadline.Sub(now) - time.Duration(e.wayTime(now)*float64(time.Second))
+	c.Late = overload.Late(req.CallerRetry, c.TimeLeft, runs.Typical)
 	slotEvery := time.Duration(float64(e.told.Service) / slots)
-	c.Patience = max(overload.Patience(c.Left, runs.Safe, slotEvery, c.Late), time.Millisecond)
+	c.MaxWait = max(overload.MaxWait(c.TimeLeft, runs.Safe, slotEvery, c.Late), time.Millisecond)
 }
 
 // expected estimates the seconds that a request takes at an upstream: its
@@ -114,7 +114,7 @@
 	seconds := service*(1+busy*busy) + queued
 	if in.DataCentre != r.self.DataCentre {
 		// The price fades as slots fill: where all are full, waits alone decide.
-		seconds += service * r.cfg.FarPrice * (1 - busy*busy)
+		seconds += service * r.cfg.CrossDataCentreCost * (1 - busy*busy)
 	}
 	works := max(1-e.failure, leastWorking)
 	return seconds / (works * works)
@@ -132,14 +132,14 @@
 		return ZeroWeight
 	case m.Status == membership.Gone:
 		return InstanceGone
-	case m.Status == membership.Departing || e.toldDraining(r.cfg, now):
+	case m.Status == membership.Leaving || e.toldDraining(r.cfg, now):
 		return InstanceLeaving
 	case m.Evacuated:
 		return Evacuated
 	case contains(req.Tried, u.Name):
 		return AlreadyTried
 	case now.Before(e.denied):
-		return Denied
+		return WrongInstance
 	case r.coldFull(now, e, m):
 		return ColdFull
 	case m.Status == membership.Suspect:
@@ -147,7 +147,7 @@
 	case e.isEjected(now):
 		return Ejected
 	case e.isSilent(r.cfg, now):
-		return Silent
+		return Unresponsive
 	}
 	return Eligible
 }
--- a/internal/routing/cold_test.go
+++ b/internal/routing/cold_test.go
@@ -13,7 +13,7 @@
 // coldBeds are the routers of many nodes that send to one service.
 func coldBeds(nodes, upstreams, cold int, rate float64) []*bed {
 	cfg := DefaultConfig()
-	cfg.ByTime, cfg.ColdTold = true, true
+	cfg.ByExpectedTime, cfg.ColdFromMembers = true, true
 	beds := make([]*bed, nodes)
 	for i := range beds {
 		b := newBedWith(cfg, upstreams)
@@ -77,7 +77,7 @@
 // is warm gets all, and one that says it is cold gets its share.
 func TestNodesWordOnColdCounts(t *testing.T) {
 	cfg := DefaultConfig()
-	cfg.ByTime, cfg.ColdTold = true, true
+	cfg.ByExpectedTime, cfg.ColdFromMembers = true, true
 	b := newBedWith(cfg, 1)
 	m := b.members["u0"]
 	m.ColdFrom, m.ColdUntil, m.ColdRate = epoch, epoch.Add(3*time.Second), 0.001
@@ -86,7 +86,7 @@
 	assert.Assert(t, !ok, "published as cold")
 	told := func(cold time.Duration) {
 		b.router.Start(b.now, membership.Instance{Name: "u0"})
-		b.router.End(b.now, b.rnd, "u0", Outcome{Told: &Told{Slots: 4, Cold: cold}})
+		b.router.End(b.now, b.rnd, "u0", Outcome{Load: &LoadReport{Slots: 4, Cold: cold}})
 	}
 	told(0)
 	for range 5 {
@@ -116,7 +116,7 @@
 // A cold upstream's share grows from when it was first heard of.
 func TestColdUpstreamIsTold(t *testing.T) {
 	cfg := DefaultConfig()
-	cfg.ColdTold = true
+	cfg.ColdFromMembers = true
 	b := newBedWith(cfg, 2)
 	m := b.members["u1"]
 	m.Generation, m.ColdSince = uint64(b.now.UnixMilli()), b.now.Add(-cfg.SlowStart/2)
--- a/internal/routing/evidence.go
+++ b/internal/routing/evidence.go
@@ -12,8 +12,8 @@
 
 // Config holds the numbers of the choice.
 type Config struct {
-	// ToldLifetime is how long a told load counts; older ones fade. Default 1 s.
-	ToldLifetime time.Duration
+	// LoadReportLifetime is how long a told load counts; older ones fade. Default 1 s.
+	LoadReportLifetime time.Duration
 	// FailureSmoothing is the weight of the newest outcome in the failure
 	// rate, 0 to 1. Default 0.2.
 	FailureSmoothing float64
@@ -29,55 +29,55 @@
 	// PanicShare is the share of a service's weight that may be left out; if
 	// more is, nothing is, as the evidence is more likely wrong. Default 0.5.
 	PanicShare float64
-	// Silence is the least time without any answer, while requests wait for
+	// NoResponseTimeout is the least time without any answer, while requests wait for
 	// one, after which an upstream is left out; four times its smoothed latency
 	// if that is longer. Shorter leaves a dead one sooner, longer forgives
 	// pauses. Default 300 ms.
-	Silence time.Duration
+	NoResponseTimeout time.Duration
 	// SlowStart is how long a new instance's weight grows to the full.
 	// Default 10 s.
 	SlowStart time.Duration
 	// SlowStartFloor is the part of its weight that a new instance starts with.
 	// Default 0.2.
 	SlowStartFloor float64
-	// ColdTold says that Members tell which instances are cold. Otherwise each
+	// ColdFromMembers says that Members tell which instances are cold. Otherwise each
 	// later generation is.
-	ColdTold bool
-	// DrainMemory is how long an upstream whose node told that it drains gets no
+	ColdFromMembers bool
+	// DrainReportLifetime is how long an upstream whose node told that it drains gets no
 	// further request on that word alone. Longer than the membership view needs
 	// for the news, where the word means that the instance leaves; about a second
 	// where only the node restarts and the view will say nothing. Default 10 s.
-	DrainMemory time.Duration
-	// ByTime chooses the least expected time over all upstreams in place of the
+	DrainReportLifetime time.Duration
+	// ByExpectedTime chooses the least expected time over all upstreams in place of the
 	// lesser load of two. It needs told service times.
-	ByTime bool
-	// FarPrice is the price of bytes between data centres, as a part of the
+	ByExpectedTime bool
+	// CrossDataCentreCost is the price of bytes between data centres, as a part of the
 	// service time that is added to the expected time at an idle upstream of
 	// another one: more keeps requests near, less evens the load. Only with
 	// ByTime. Default 0.3.
-	FarPrice float64
+	CrossDataCentreCost float64
 }
 
 // DefaultConfig returns the defaults given at the fields.
 func DefaultConfig() Config {
 	return Config{
-		ToldLifetime:     time.Second,
-		FailureSmoothing: 0.2,
-		EjectRate:        0.5,
-		EjectMin:         5,
-		EjectBase:        time.Second,
-		EjectCap:         30 * time.Second,
-		PanicShare:       0.5,
-		Silence:          300 * time.Millisecond,
-		SlowStart:        10 * time.Second,
-		SlowStartFloor:   0.2,
-		DrainMemory:      10 * time.Second,
-		FarPrice:         0.3,
+		LoadReportLifetime:  time.Second,
+		FailureSmoothing:    0.2,
+		EjectRate:           0.5,
+		EjectMin:            5,
+		EjectBase:           time.Second,
+		EjectCap:            30 * time.Second,
+		PanicShare:          0.5,
+		NoResponseTimeout:   300 * time.Millisecond,
+		SlowStart:           10 * time.Second,
+		SlowStartFloor:      0.2,
+		DrainReportLifetime: 10 * time.Second,
+		CrossDataCentreCost: 0.3,
 	}
 }
 
-// Told is what the node beside an upstream said of its load.
-type Told struct {
+// LoadReport is what the node beside an upstream said of its load.
+type LoadReport struct {
 	InUse, Slots, Waiting int
 	// Service is the smoothed time that a request holds a slot; 0 if unknown.
 	Service time.Duration
@@ -85,14 +85,14 @@
 	// a slot.
 	Wait time.Duration
 	// Runs is how long requests of the same kind run.
-	Runs     Runs
+	Runs     RunTimes
 	Draining bool
 	// Cold is how long the upstream stays cold; 0 if it is warm.
 	Cold time.Duration
 }
 
-// Runs is how long requests of a kind run at an upstream; 0 if not known.
-type Runs struct {
+// RunTimes is how long requests of a kind run at an upstream; 0 if not known.
+type RunTimes struct {
 	Typical time.Duration // overload.TypicalRun of them run no longer
 	Safe    time.Duration // overload.SafeRun of them run no longer
 }
@@ -105,7 +105,7 @@
 	firstSeen  time.Time
 	inFlight   int
 	unanswered time.Time // since when requests wait and none was answered
-	told       Told
+	told       LoadReport
 	toldAt     time.Time
 	toldFlight int // own requests in flight when told
 	waits      map[string]kindWait
@@ -156,7 +156,7 @@
 	if e.toldAt.IsZero() {
 		return own
 	}
-	age := now.Sub(e.toldAt).Seconds() / cfg.ToldLifetime.Seconds()
+	age := now.Sub(e.toldAt).Seconds() / cfg.LoadReportLifetime.Seconds()
 	trust := math.Exp(-max(age, 0))
 	told := float64(e.told.InUse + e.told.Waiting + e.inFlight - e.toldFlight)
 	return max(own, trust*told+(1-trust)*own)
@@ -193,7 +193,7 @@
 
 // kindRuns is news of how long requests of one kind run.
 type kindRuns struct {
-	Runs
+	RunTimes
 	at time.Time
 }
 
@@ -202,23 +202,23 @@
 // again, as one that was slow is usually well after some seconds.
 const runsMemory = 3 * time.Second
 
-func (e *evidence) noteRuns(now time.Time, kind string, runs Runs) {
+func (e *evidence) noteRuns(now time.Time, kind string, runs RunTimes) {
 	if runs.Safe == 0 {
 		return
 	}
 	if e.runs == nil || len(e.runs) >= maxKinds {
 		e.runs = make(map[string]kindRuns)
 	}
-	e.runs[kind] = kindRuns{Runs: runs, at: now}
+	e.runs[kind] = kindRuns{RunTimes: runs, at: now}
 }
 
 // runTimes is how long requests of the kind run, as far as that is known.
-func (e *evidence) runTimes(now time.Time, kind string) Runs {
+func (e *evidence) runTimes(now time.Time, kind string) RunTimes {
 	known, ok := e.runs[kind]
 	if !ok || now.Sub(known.at) > runsMemory {
-		return Runs{}
+		return RunTimes{}
 	}
-	return known.Runs
+	return known.RunTimes
 }
 
 // trialInterval is the number of its service times after which an upstream
@@ -241,7 +241,7 @@
 }
 
 func (e *evidence) toldDraining(cfg Config, now time.Time) bool {
-	return e.told.Draining && now.Sub(e.toldAt) < cfg.DrainMemory
+	return e.told.Draining && now.Sub(e.toldAt) < cfg.DrainReportLifetime
 }
 
 // silenceFactor is the multiple of the smoothed latency that counts as silence.
@@ -252,7 +252,7 @@
 	if e.inFlight == 0 {
 		return false
 	}
-	limit := max(cfg.Silence, time.Duration(silenceFactor*e.latency*float64(time.Second)))
+	limit := max(cfg.NoResponseTimeout, time.Duration(silenceFactor*e.latency*float64(time.Second)))
 	return now.Sub(e.unanswered) > limit
 }
 
--- a/internal/routing/pick.go
+++ b/internal/routing/pick.go
@@ -42,8 +42,8 @@
 			total += c.Weight
 		}
 	}
-	if r.cfg.ByTime && !req.Aim.IsZero() {
-		usable = prefer(usable, func(c *Candidate) bool { return c.Wait <= c.Patience })
+	if r.cfg.ByExpectedTime && !req.ObjectiveDeadline.IsZero() {
+		usable = prefer(usable, func(c *Candidate) bool { return c.Wait <= c.MaxWait })
 		usable = prefer(usable, func(c *Candidate) bool { return !c.Late })
 	}
 	switch len(usable) {
@@ -52,7 +52,7 @@
 	case 1:
 		return usable[0], true
 	}
-	if r.cfg.ByTime {
+	if r.cfg.ByExpectedTime {
 		return least(rnd, usable), true
 	}
 	a := draw(rnd, usable, total, -1)
--- a/internal/routing/pick_test.go
+++ b/internal/routing/pick_test.go
@@ -14,13 +14,13 @@
 	for _, n := range []int{13, 108, 500, 2300} {
 		b.Run(fmt.Sprintf("upstreams=%d", n), func(b *testing.B) {
 			cfg := DefaultConfig()
-			cfg.ByTime = true
+			cfg.ByExpectedTime = true
 			bed := newBedWith(cfg, n)
-			told := Told{InUse: 2, Slots: 4, Service: 100 * time.Millisecond}
+			told := LoadReport{InUse: 2, Slots: 4, Service: 100 * time.Millisecond}
 			for _, m := range bed.members {
 				bed.router.of(bed.now, m)
 				bed.router.Start(bed.now, m.Instance)
-				bed.router.End(bed.now, bed.rnd, m.Name, Outcome{Told: &told, Kind: "k"})
+				bed.router.End(bed.now, bed.rnd, m.Name, Outcome{Load: &told, Kind: "k"})
 			}
 			benchmarkPick(b, bed)
 		})
@@ -33,7 +33,7 @@
 	for _, n := range []int{108, 500, 2300} {
 		b.Run(fmt.Sprintf("upstreams=%d", n), func(b *testing.B) {
 			cfg := DefaultConfig()
-			cfg.ByTime, cfg.ColdTold = true, true
+			cfg.ByExpectedTime, cfg.ColdFromMembers = true, true
 			bed := newBedWith(cfg, n)
 			for i := range n {
 				m := bed.members[fmt.Sprintf("u%d", i)]
@@ -49,7 +49,7 @@
 }
 
 func benchmarkPick(b *testing.B, bed *bed) {
-	req := Request{Service: bed.service, Kind: "k", Aim: bed.now.Add(time.Second)}
+	req := Request{Service: bed.service, Kind: "k", ObjectiveDeadline: bed.now.Add(time.Second)}
 	b.ReportAllocs()
 	b.ResetTimer()
 	for b.Loop() {
@@ -63,7 +63,7 @@
 // garbage for each request, at nodes with a sixth of a core.
 func TestChoiceLeavesNoGarbage(t *testing.T) {
 	cfg := DefaultConfig()
-	cfg.ByTime = true
+	cfg.ByExpectedTime = true
 	b := newBedWith(cfg, 108)
 	for range 100 { // all upstreams are met for the first time
 		b.pick()
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -65,7 +65,7 @@
 // by this node is not taken for cold unless it started a short while ago.
 func (r *Router) coldFrom(now time.Time, m membership.Member, known bool) time.Time {
 	started := m.ColdSince
-	if !r.cfg.ColdTold {
+	if !r.cfg.ColdFromMembers {
 		started = time.UnixMilli(int64(m.Generation))
 		if known {
 			started = now
@@ -90,8 +90,8 @@
 	e.allowance.spend()
 }
 
-// Heard notes that an upstream answered a request, which may go on.
-func (r *Router) Heard(now time.Time, name string) {
+// ResponseStarted notes that an upstream answered a request, which may go on.
+func (r *Router) ResponseStarted(now time.Time, name string) {
 	if e, ok := r.evidence[name]; ok {
 		e.unanswered = now
 	}
@@ -105,16 +105,16 @@
 	// Failed says that the upstream or the way to it failed; a refusal for
 	// want of a slot is no failure.
 	Failed bool
-	// Denied says that the address answered for another instance, so that the
+	// WrongInstance says that the address answered for another instance, so that the
 	// one asked for has ended.
-	Denied  bool
-	Latency time.Duration // time to the answer; 0 if there was none
-	Told    *Told         // what its node said with the answer; nil if nothing
-	Kind    string        // class of the request
-	Late    bool          // the request waited among the late ones
-	// Way is the part of Latency that was spent neither at the node nor at the
+	WrongInstance bool
+	Latency       time.Duration // time to the answer; 0 if there was none
+	Load          *LoadReport   // what its node said with the answer; nil if nothing
+	Kind          string        // class of the request
+	Late          bool          // the request waited among the late ones
+	// NetworkTime is the part of Latency that was spent neither at the node nor at the
 	// upstream; 0 if it is not known.
-	Way time.Duration
+	NetworkTime time.Duration
 }
 
 // latencySmoothing is the weight of the newest latency.
@@ -127,22 +127,22 @@
 		return
 	}
 	e.inFlight = max(0, e.inFlight-1)
-	if o.Denied {
+	if o.WrongInstance {
 		e.denied = now.Add(deniedMemory)
 	}
 	e.observe(r.cfg, now, rnd, o.Failed)
 	if !o.Failed {
 		e.unanswered = now
 	}
-	if o.Told != nil {
-		r.noteTypical(e.service, o.Told.Service)
+	if o.Load != nil {
+		r.noteTypical(e.service, o.Load.Service)
 		r.noteFavourite(e, name, o)
-		e.told, e.toldAt, e.toldFlight = *o.Told, now, e.inFlight
-		e.noteWait(now, overload.QueueKind(o.Kind, o.Late), o.Told.Wait)
-		e.noteRuns(now, o.Kind, o.Told.Runs)
+		e.told, e.toldAt, e.toldFlight = *o.Load, now, e.inFlight
+		e.noteWait(now, overload.QueueKind(o.Kind, o.Late), o.Load.Wait)
+		e.noteRuns(now, o.Kind, o.Load.Runs)
 	}
-	if o.Way > 0 {
-		e.noteWay(now, o.Way)
+	if o.NetworkTime > 0 {
+		e.noteWay(now, o.NetworkTime)
 	}
 	if o.Latency > 0 {
 		e.latency += latencySmoothing * (o.Latency.Seconds() - e.latency)
@@ -191,9 +191,9 @@
 		return
 	}
 	known := r.quickest[e.service]
-	if o.Failed || o.Told.Service <= 0 {
+	if o.Failed || o.Load.Service <= 0 {
 		r.quickest[e.service] = known.without(name)
 		return
 	}
-	r.quickest[e.service] = known.note(name, o.Told.Service)
+	r.quickest[e.service] = known.note(name, o.Load.Service)
 }
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -50,7 +50,7 @@
 }
 
 func (b *bed) pick(tried ...string) (Candidate, bool) {
-	return b.router.Pick(b.now, b.rnd, Request{Service: b.service, Tried: tried, Kind: "k", Aim: b.now.Add(60 * time.Millisecond)}, b.lookup)
+	return b.router.Pick(b.now, b.rnd, Request{Service: b.service, Tried: tried, Kind: "k", ObjectiveDeadline: b.now.Add(60 * time.Millisecond)}, b.lookup)
 }
 
 func (b *bed) setStatus(name string, st membership.Status) {
@@ -78,8 +78,8 @@
 func TestRouterAgainstOracle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := DefaultConfig()
-		cfg.ByTime = rapid.Bool().Draw(t, "by time")
-		cfg.DrainMemory = rapid.SampledFrom([]time.Duration{time.Second, 10 * time.Second}).Draw(t, "drain memory")
+		cfg.ByExpectedTime = rapid.Bool().Draw(t, "by time")
+		cfg.DrainReportLifetime = rapid.SampledFrom([]time.Duration{time.Second, 10 * time.Second}).Draw(t, "drain memory")
 		b := newBedWith(cfg, rapid.IntRange(1, 5).Draw(t, "upstreams"))
 		name := rapid.Map(rapid.IntRange(0, len(b.service.Upstreams)-1), func(i int) string { return fmt.Sprintf("u%d", i) })
 		draining := make(map[string]time.Time)
@@ -87,8 +87,8 @@
 		forbidden := func(n string) bool {
 			m, ok := b.members[n]
 			at, told := draining[n]
-			return !ok || m.Evacuated || m.Status == membership.Gone || m.Status == membership.Departing ||
-				(told && b.now.Sub(at) < cfg.DrainMemory) || weight(b, n) == 0
+			return !ok || m.Evacuated || m.Status == membership.Gone || m.Status == membership.Leaving ||
+				(told && b.now.Sub(at) < cfg.DrainReportLifetime) || weight(b, n) == 0
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"pick": func(t *rapid.T) {
@@ -110,14 +110,14 @@
 					t.Skip("none in flight")
 				}
 				flight[n]--
-				told := &Told{
+				told := &LoadReport{
 					InUse:    rapid.IntRange(0, 9).Draw(t, "in use"),
 					Slots:    4,
 					Service:  time.Duration(rapid.IntRange(0, 500).Draw(t, "service")) * time.Millisecond,
 					Wait:     time.Duration(rapid.IntRange(0, 200).Draw(t, "wait")) * time.Millisecond,
 					Draining: rapid.IntRange(0, 9).Draw(t, "drains") == 0,
 				}
-				b.router.End(b.now, b.rnd, n, Outcome{Failed: rapid.Bool().Draw(t, "failed"), Told: told, Kind: "k"})
+				b.router.End(b.now, b.rnd, n, Outcome{Failed: rapid.Bool().Draw(t, "failed"), Load: told, Kind: "k"})
 				delete(draining, n)
 				if told.Draining {
 					draining[n] = b.now
@@ -185,10 +185,10 @@
 	b.router.End(b.now, b.rnd, "u1", Outcome{Latency: 10 * time.Millisecond})
 	b.router.Start(b.now, b.members["u1"].Instance)
 	assert.Equal(t, b.excluded("u1"), Eligible)
-	b.now = b.now.Add(DefaultConfig().Silence + 1)
-	assert.Equal(t, b.excluded("u1"), Silent)
+	b.now = b.now.Add(DefaultConfig().NoResponseTimeout + 1)
+	assert.Equal(t, b.excluded("u1"), Unresponsive)
 	assert.Equal(t, b.share(100)["u1"], 0)
-	b.router.Heard(b.now, "u1")
+	b.router.ResponseStarted(b.now, "u1")
 	assert.Equal(t, b.excluded("u1"), Eligible)
 }
 
@@ -222,11 +222,11 @@
 		n := fmt.Sprintf("u%d", i)
 		b.pick()
 		b.router.Start(b.now, b.members[n].Instance)
-		told := &Told{InUse: 4, Slots: 4, Waiting: 4}
+		told := &LoadReport{InUse: 4, Slots: 4, Waiting: 4}
 		if i == 0 {
-			told = &Told{Slots: 4}
+			told = &LoadReport{Slots: 4}
 		}
-		b.router.End(b.now, b.rnd, n, Outcome{Told: told})
+		b.router.End(b.now, b.rnd, n, Outcome{Load: told})
 	}
 	got := b.share(6000)["u0"]
 	// Two of six are drawn: at most a third of the picks can go there.
@@ -248,7 +248,7 @@
 // others look better.
 func TestNewUpstreamGetsATrial(t *testing.T) {
 	cfg := DefaultConfig()
-	cfg.ByTime = true
+	cfg.ByExpectedTime = true
 	now := time.Unix(5000, 0)
 	rnd := rand.New(rand.NewPCG(1, 2))
 	r := NewRouter(cfg, membership.Instance{DataCentre: "a"})
@@ -270,7 +270,7 @@
 		if c.Instance.Name == "old" {
 			service = 10 * time.Millisecond
 		}
-		r.End(now, rnd, c.Instance.Name, Outcome{Latency: service, Told: &Told{Slots: 10, Service: service}})
+		r.End(now, rnd, c.Instance.Name, Outcome{Latency: service, Load: &LoadReport{Slots: 10, Service: service}})
 		return c.Instance.Name
 	}
 	got := make(map[string]int)
@@ -292,7 +292,7 @@
 // load, and its share again once the link has drained.
 func TestFullLinkIsLeft(t *testing.T) {
 	cfg := DefaultConfig()
-	cfg.ByTime = true
+	cfg.ByExpectedTime = true
 	b := newBedWith(cfg, 2)
 	share := func(way time.Duration) int {
 		n := 0
@@ -300,10 +300,10 @@
 			c, ok := b.pick()
 			assert.Assert(t, ok)
 			name := c.Instance.Name
-			o := Outcome{Latency: 50 * time.Millisecond, Way: time.Millisecond, Told: &Told{Slots: 4, Service: 50 * time.Millisecond}}
+			o := Outcome{Latency: 50 * time.Millisecond, NetworkTime: time.Millisecond, Load: &LoadReport{Slots: 4, Service: 50 * time.Millisecond}}
 			if name == "u0" {
 				n++
-				o.Way = way
+				o.NetworkTime = way
 			}
 			b.router.Start(b.now, b.members[name].Instance)
 			b.now = b.now.Add(5 * time.Millisecond)
@@ -326,7 +326,7 @@
 	c, ok := b.pick()
 	assert.Assert(t, ok)
 	b.router.Start(b.now, c.Instance)
-	b.router.End(b.now, b.rnd, c.Upstream.Name, Outcome{Failed: true, Denied: true})
+	b.router.End(b.now, b.rnd, c.Upstream.Name, Outcome{Failed: true, WrongInstance: true})
 	_, ok = b.pick()
 	assert.Assert(t, !ok)
 	b.now = b.now.Add(deniedMemory)
@@ -339,29 +339,29 @@
 // was ejected, silent, denied, draining, full and far, and its successor is not.
 func TestLaterLifeStartsAnew(t *testing.T) {
 	cfg := DefaultConfig()
-	cfg.ByTime, cfg.ColdTold = true, true
+	cfg.ByExpectedTime, cfg.ColdFromMembers = true, true
 	b := newBedWith(cfg, 2)
 	m := b.members["u1"]
 	m.Generation = 100
 	b.members["u1"] = m
 	earlier := m.Instance
 	b.pick()
-	busy := &Told{InUse: 40, Slots: 4, Waiting: 36, Service: time.Second, Wait: 9 * time.Second, Runs: Runs{Typical: time.Second, Safe: 2 * time.Second}, Draining: true}
+	busy := &LoadReport{InUse: 40, Slots: 4, Waiting: 36, Service: time.Second, Wait: 9 * time.Second, Runs: RunTimes{Typical: time.Second, Safe: 2 * time.Second}, Draining: true}
 	for range 2 * cfg.EjectMin {
 		b.router.Start(b.now, earlier)
-		b.router.End(b.now, b.rnd, "u1", Outcome{Generation: 100, Failed: true, Denied: true, Told: busy, Kind: "k", Way: time.Second})
+		b.router.End(b.now, b.rnd, "u1", Outcome{Generation: 100, Failed: true, WrongInstance: true, Load: busy, Kind: "k", NetworkTime: time.Second})
 	}
 	for range 3 {
 		b.router.Start(b.now, earlier) // and none of these is answered
 	}
-	b.now = b.now.Add(cfg.Silence + time.Millisecond)
+	b.now = b.now.Add(cfg.NoResponseTimeout + time.Millisecond)
 	verdict := func() Candidate {
-		return b.router.Candidates(b.now, Request{Service: b.service, Kind: "k", Aim: b.now.Add(time.Minute)}, b.lookup)[1]
+		return b.router.Candidates(b.now, Request{Service: b.service, Kind: "k", ObjectiveDeadline: b.now.Add(time.Minute)}, b.lookup)[1]
 	}
 	assert.Equal(t, verdict().Excluded, InstanceLeaving)
 	m.Generation = 200
 	b.members["u1"] = m
-	fresh := b.router.Candidates(b.now, Request{Service: b.service, Kind: "k", Aim: b.now.Add(time.Minute)}, b.lookup)[0]
+	fresh := b.router.Candidates(b.now, Request{Service: b.service, Kind: "k", ObjectiveDeadline: b.now.Add(time.Minute)}, b.lookup)[0]
 	check := func() {
 		c := verdict()
 		assert.Equal(t, c.Excluded, Eligible)
@@ -369,7 +369,7 @@
 	}
 	check()
 	for range 3 {
-		b.router.End(b.now, b.rnd, "u1", Outcome{Generation: 100, Failed: true, Denied: true, Told: busy, Kind: "k", Way: time.Second})
+		b.router.End(b.now, b.rnd, "u1", Outcome{Generation: 100, Failed: true, WrongInstance: true, Load: busy, Kind: "k", NetworkTime: time.Second})
 	}
 	check()
 	b.router.Start(b.now, earlier) // chosen before the restart was known
--- a/internal/routing/sample.go
+++ b/internal/routing/sample.go
@@ -32,7 +32,7 @@
 // gather at the same ones, and looking at all takes longer than the rest of the way.
 func (r *Router) consider(out []Candidate, now time.Time, rnd *rand.Rand, req Request, members Members) []Candidate {
 	often := r.often(now, req.Service.Name)
-	if !r.cfg.ByTime || req.Pinned != "" || r.knowsMost(len(req.Service.Upstreams), often) {
+	if !r.cfg.ByExpectedTime || req.Pinned != "" || r.knowsMost(len(req.Service.Upstreams), often) {
 		return r.appendCandidates(out, now, req, members)
 	}
 	out = r.drawCandidates(out, now, rnd, req, members, req.Service.In(r.self.DataCentre), compared*drawsEach)
@@ -57,7 +57,7 @@
 	case upstreams > compareAll:
 		return false
 	}
-	return perSecond*r.cfg.ToldLifetime.Seconds() >= freshShare*float64(upstreams)
+	return perSecond*r.cfg.LoadReportLifetime.Seconds() >= freshShare*float64(upstreams)
 }
 
 // choices is how often a node chooses among the upstreams of a service.
@@ -145,7 +145,7 @@
 func anyInTime(cs []Candidate) bool {
 	for i := range cs {
 		c := &cs[i]
-		if c.usable() && !c.Late && (c.Patience == 0 || c.Wait <= c.Patience) {
+		if c.usable() && !c.Late && (c.MaxWait == 0 || c.Wait <= c.MaxWait) {
 			return true
 		}
 	}
--- a/internal/routing/sample_test.go
+++ b/internal/routing/sample_test.go
@@ -40,7 +40,7 @@
 	}
 	c.service = snapshot.NewService(table.Service{Name: "s"}, all...)
 	cfg := DefaultConfig()
-	cfg.ByTime, cfg.ColdTold = true, true
+	cfg.ByExpectedTime, cfg.ColdFromMembers = true, true
 	for i := range nodes {
 		c.routers = append(c.routers, NewRouter(cfg, membership.Instance{Name: fmt.Sprintf("n%d", i), DataCentre: fmt.Sprintf("dc%d", i%centres), Region: "r"}))
 	}
@@ -60,7 +60,7 @@
 	for range requests {
 		now = now.Add(time.Duration(c.rnd.ExpFloat64() / perSecond * float64(time.Second)))
 		r := c.routers[c.rnd.IntN(len(c.routers))]
-		target, ok := r.Pick(now, c.rnd, Request{Service: c.service, Kind: "k", Aim: now.Add(time.Second)}, c.lookup)
+		target, ok := r.Pick(now, c.rnd, Request{Service: c.service, Kind: "k", ObjectiveDeadline: now.Add(time.Second)}, c.lookup)
 		if !ok {
 			late++
 			continue
@@ -77,8 +77,8 @@
 			c.told[name] = run.Seconds()
 		}
 		c.told[name] += 0.1 * (run.Seconds() - c.told[name])
-		told := Told{InUse: inUse, Slots: crowdSlots, Service: time.Duration(c.told[name] * float64(time.Second)), Wait: wait}
-		r.End(now, c.rnd, name, Outcome{Told: &told, Kind: "k", Latency: wait + run})
+		told := LoadReport{InUse: inUse, Slots: crowdSlots, Service: time.Duration(c.told[name] * float64(time.Second)), Wait: wait}
+		r.End(now, c.rnd, name, Outcome{Load: &told, Kind: "k", Latency: wait + run})
 	}
 	return got, late
 }
@@ -126,14 +126,14 @@
 func TestChoiceAmongManyLooksAtAFew(t *testing.T) {
 	for _, n := range []int{500, 2300, 4600} {
 		cfg := DefaultConfig()
-		cfg.ByTime = true
+		cfg.ByExpectedTime = true
 		bed := newBedWith(cfg, n)
 		looked := 0
 		lookup := func(name string) (membership.Member, bool) {
 			looked++
 			return bed.lookup(name)
 		}
-		req := Request{Service: bed.service, Kind: "k", Aim: bed.now.Add(time.Second)}
+		req := Request{Service: bed.service, Kind: "k", ObjectiveDeadline: bed.now.Add(time.Second)}
 		for range 1000 {
 			_, ok := bed.router.Pick(bed.now, bed.rnd, req, lookup)
 			assert.Assert(t, ok)
@@ -145,11 +145,11 @@
 // Where only one of many may be used, it is found.
 func TestTheOneUsableAmongManyIsFound(t *testing.T) {
 	cfg := DefaultConfig()
-	cfg.ByTime = true
+	cfg.ByExpectedTime = true
 	bed := newBedWith(cfg, 500)
 	for i := range 500 {
 		if i != 77 {
-			bed.setStatus(fmt.Sprintf("u%d", i), membership.Departing)
+			bed.setStatus(fmt.Sprintf("u%d", i), membership.Leaving)
 		}
 	}
 	for range 50 {
@@ -165,7 +165,7 @@
 func TestOwnDataCentreIsDrawnFirst(t *testing.T) {
 	c := newCrowd(1, 600, 3)
 	for range 200 {
-		target, ok := c.routers[0].Pick(epoch, c.rnd, Request{Service: c.service, Kind: "k", Aim: epoch.Add(time.Second)}, c.lookup)
+		target, ok := c.routers[0].Pick(epoch, c.rnd, Request{Service: c.service, Kind: "k", ObjectiveDeadline: epoch.Add(time.Second)}, c.lookup)
 		assert.Assert(t, ok)
 		assert.Equal(t, target.Instance.DataCentre, "dc0")
 	}
--- a/internal/settings/sidecar.go
+++ b/internal/settings/sidecar.go
@@ -123,7 +123,7 @@
 		c.WatchWait = s.WatchWait
 	}
 	if s.NewsMaxAge > 0 {
-		c.NewsMaxAge = s.NewsMaxAge
+		c.PeerMaxStaleness = s.NewsMaxAge
 	}
 	c.NodesPerReader = s.NodesPerReader
 	c.LinkMbps = uint32(min(math.Ceil(s.LinkMbps), math.MaxUint32))
@@ -135,13 +135,13 @@
 func (s *Sidecar) checkNews(file string) Findings {
 	var found Findings
 	c := s.Discovery()
-	if c.WatchWait >= c.NewsMaxAge {
+	if c.WatchWait >= c.PeerMaxStaleness {
 		found = append(found, Finding{File: file, Key: "store.watch_wait",
-			Message: fmt.Sprintf("%v is not less than store.news_max_age, %v: every sidecar would read the store", c.WatchWait, c.NewsMaxAge)})
+			Message: fmt.Sprintf("%v is not less than store.news_max_age, %v: every sidecar would read the store", c.WatchWait, c.PeerMaxStaleness)})
 	}
-	if !c.Bounded() {
+	if !c.WithinChangeBound() {
 		found = append(found, Finding{File: file, Key: "store.news_max_age",
-			Message: fmt.Sprintf("%v is too much for a bound of %v: with one call of the store lost, news are %v old before the next is answered, and that takes up to %v", c.NewsMaxAge, c.ChangeBound, c.WorstAge(1), discovery.AnswerTime)})
+			Message: fmt.Sprintf("%v is too much for a bound of %v: with one call of the store lost, news are %v old before the next is answered, and that takes up to %v", c.PeerMaxStaleness, c.ChangeBound, c.MaxStaleness(1), discovery.ResponseAllowance)})
 	}
 	return found
 }
--- a/internal/sidecar/admin.go
+++ b/internal/sidecar/admin.go
@@ -117,14 +117,14 @@
 		HeldFor:    uint64(f.TableAge.Milliseconds()),
 		From:       f.TableFrom,
 		Reader:     f.Reader,
-		SourceAge:  uint64(f.Age.Milliseconds()),
+		SourceAge:  uint64(f.Staleness.Milliseconds()),
 		Links:      len(f.Sources),
 		Refused:    unusable(f.Unusable),
-		Upstream:   s.backend.HeldBack(),
+		Upstream:   s.backend.Restriction(),
 		HeldBack:   len(s.held.list(now)),
 	}
 	for _, e := range f.Evacuated {
-		st.Evacuated = append(st.Evacuated, distribution.EvacuatedCentre{DataCentre: e.DataCentre, Since: uint64(now.Sub(e.Heard).Milliseconds())})
+		st.Evacuated = append(st.Evacuated, distribution.EvacuatedCentre{DataCentre: e.DataCentre, Since: uint64(now.Sub(e.FirstSeen).Milliseconds())})
 	}
 	if st.Table.IsZero() {
 		st.Waiting = "a first table"
@@ -142,7 +142,7 @@
 	}
 	told := make([]string, 0, unusableTold)
 	for _, e := range entries[:min(len(entries), unusableTold)] {
-		told = append(told, e.ID+" ("+e.Unusable+")")
+		told = append(told, e.ID+" ("+e.InvalidReason+")")
 	}
 	return fmt.Sprintf("%d entries: %s", len(entries), strings.Join(told, ", "))
 }
--- a/internal/sidecar/admin_test.go
+++ b/internal/sidecar/admin_test.go
@@ -64,7 +64,7 @@
 func TestStatusTellsUnusableEntries(t *testing.T) {
 	f := startFleet(t, 2, 0)
 	f.store.change(func(u *discovery.Update) {
-		u.Removed = append(u.Removed, discovery.Removal{ID: "i-x", Revision: u.Revision, Unusable: "Slots: of another type"})
+		u.Removed = append(u.Removed, discovery.Removal{ID: "i-x", Revision: u.Revision, InvalidReason: "Slots: of another type"})
 	})
 	for told := 0; told < 2; {
 		var rows []struct{ Refused string }
--- a/internal/sidecar/build.go
+++ b/internal/sidecar/build.go
@@ -88,32 +88,32 @@
 	// The upstream is on this machine and loses power with it. One that reads a long
 	// body late is no dead peer: bodies of 1 MB broke off after 2.5 s of a reader's pause.
 	toUpstream.UnackedTimeout = 0
-	toUpstream.Belongs = s.platform.Dialect.Belongs
+	toUpstream.MatchesRequest = s.platform.Dialect.MatchesRequest
 	s.upstream = http1.NewClient(toUpstream)
 	toPeers := http1.DefaultClientConfig()
-	toPeers.Expect, toPeers.DialTimeout = expectFrom, dialTimeout
+	toPeers.ExpectContinueAbove, toPeers.DialTimeout = expectFrom, dialTimeout
 	s.hop = http1.NewClient(toPeers)
 	s.news = http1.NewClient(newsClient())
 	s.follower = s.newFollower()
 	s.held = newHeldRequests(s)
 	s.quotas = newCustomerQuotas(s)
 	s.backend = proxy.NewBackend(proxy.BackendConfig{
-		Upstream:     upstreamURL(s.cfg.Upstream),
-		Slots:        s.cfg.Slots,
-		QueueLimit:   queueFactor * s.cfg.Slots,
-		Ledger:       ledger.DefaultConfig(),
-		Dialect:      s.platform.Dialect,
-		Transport:    s.upstream,
-		Reached:      func(ok bool) { s.guard.reached(ok) },
-		Refuses:      func() bool { return refuses(s.cfg.Upstream.String()) },
-		Fell:         s.fell,
-		Quarantine:   s.held,
-		WholeAnswers: wholeAnswers,
-		Receivers:    receivers,
-		ReceiveLimit: int64(s.cfg.BufferLimit),
-		Senders:      senders,
-		AnswerLimit:  answerLimit,
-		AnswerTotal:  int64(s.cfg.MemoryLimit) << 20 / bufferShare,
+		Upstream:            upstreamURL(s.cfg.Upstream),
+		Slots:               s.cfg.Slots,
+		QueueLimit:          queueFactor * s.cfg.Slots,
+		Ledger:              ledger.DefaultConfig(),
+		Dialect:             s.platform.Dialect,
+		Transport:           s.upstream,
+		OnConnect:           func(ok bool) { s.guard.reached(ok) },
+		RefusesConnections:  func() bool { return refuses(s.cfg.Upstream.String()) },
+		OnCrash:             s.fell,
+		Quarantine:          s.held,
+		ResponseBufferLimit: wholeAnswers,
+		MaxReceives:         receivers,
+		MaxReceivedBody:     int64(s.cfg.BufferLimit),
+		MaxSends:            senders,
+		SendBufferLimit:     answerLimit,
+		SendBufferTotal:     int64(s.cfg.MemoryLimit) << 20 / bufferShare,
 	}, s.holder, nil, requests, clock.Now())
 
 	s.guard = newColdGuard(s)
@@ -121,7 +121,7 @@
 	policy := retry.DefaultPolicy()
 	policy.Ratio, policy.Reserve, policy.FreeTries = s.cfg.RetryRatio, float64(s.cfg.RetryReserve), freeTries
 	choice := routing.DefaultConfig()
-	choice.ByTime, choice.ColdTold, choice.DrainMemory = true, true, drainMemory
+	choice.ByExpectedTime, choice.ColdFromMembers, choice.DrainReportLifetime = true, true, drainMemory
 	s.frontend = proxy.NewFrontend(proxy.FrontendConfig{
 		Self: membership.Instance{
 			Name:       s.cfg.Name,
@@ -129,25 +129,25 @@
 			DataCentre: s.cfg.DataCentre,
 			Region:     s.cfg.Region,
 		},
-		Routing:        choice,
-		Retry:          policy,
-		Seed:           uint64(clock.Now().UnixNano()),
-		MaxInFlight:    s.cfg.MaxInFlight,
-		Dialect:        s.platform.Dialect,
-		BufferLimit:    int64(s.cfg.BufferLimit),
-		BufferTotal:    int64(s.cfg.MemoryLimit) << 20 / bufferShare,
-		WholeAnswers:   wholeAnswers,
-		LeavingAnswers: answerLimit,
-		LeavingTotal:   int64(s.cfg.MemoryLimit) << 20 / bufferShare,
-		IgnoreKeys:     true,
-		Record:         newRecorder(s.log).record,
-		CallerService:  func() string { return *s.service.Load() },
-		NewsAge:        s.follower.Age,
-		TableAge:       s.follower.TableAge,
-		Quarantine:     s.held,
-		Quota:          s.quotas,
-		BodyLimit:      func() int64 { return s.follower.Limits().BodyBytes },
-	}, s.holder, s.follower.Member, proxy.NewHop(s.hop, s.cfg.Upstream.Addr(), s.backend), requests, func() bool { return true })
+		Routing:             choice,
+		Retry:               policy,
+		Seed:                uint64(clock.Now().UnixNano()),
+		MaxInFlight:         s.cfg.MaxInFlight,
+		Dialect:             s.platform.Dialect,
+		BufferLimit:         int64(s.cfg.BufferLimit),
+		BufferTotal:         int64(s.cfg.MemoryLimit) << 20 / bufferShare,
+		ResponseBufferLimit: wholeAnswers,
+		ShutdownBufferLimit: answerLimit,
+		ShutdownBufferTotal: int64(s.cfg.MemoryLimit) << 20 / bufferShare,
+		IgnoreKeys:          true,
+		Record:              newRecorder(s.log).record,
+		CallerService:       func() string { return *s.service.Load() },
+		Staleness:           s.follower.Staleness,
+		TableAge:            s.follower.TableAge,
+		Quarantine:          s.held,
+		Quota:               s.quotas,
+		BodyLimit:           func() int64 { return s.follower.Limits().BodyBytes },
+	}, s.holder, s.follower.Member, proxy.NewHTTP1Dispatcher(s.hop, s.cfg.Upstream.Addr(), s.backend), requests, func() bool { return true })
 }
 
 func (s *Sidecar) newFollower() *discovery.Follower {
@@ -158,11 +158,11 @@
 // peerHandler serves other sidecars: their requests and their questions for
 // news and status.
 func (s *Sidecar) peerHandler() http.Handler {
-	news, requests := discovery.NewsHandler(s.follower), proxy.NewPeerHandler(s.backend)
+	news, requests := discovery.PeerUpdateHandler(s.follower), proxy.NewPeerHandler(s.backend)
 	held, quotas := http.HandlerFunc(s.held.answer), http.HandlerFunc(s.quotas.answer)
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		switch {
-		case r.Header.Get(discovery.HeaderNews) != "":
+		case r.Header.Get(discovery.HeaderPeerUpdate) != "":
 			news.ServeHTTP(w, r)
 		case r.Header.Get(headerQuarantine) != "":
 			held.ServeHTTP(w, r)
@@ -179,15 +179,15 @@
 // bind opens the sockets.
 func (s *Sidecar) bind() error {
 	s.servers.callers = http1.NewServer(http1.Config{
-		Handler: s.frontend,
-		Limits:  s.callerLimits,
-		MaxIdle: maxIdleCallers,
-		Ended:   newEnds(s.log, s.metrics.Scope, "callers", s.state).ended,
+		Handler:   s.frontend,
+		Limits:    s.callerLimits,
+		MaxIdle:   maxIdleCallers,
+		OnConnEnd: newEnds(s.log, s.metrics.Scope, "callers", s.state).ended,
 	})
 	s.servers.peers = http1.NewServer(http1.Config{
 		Handler:     s.peerHandler(),
 		WriteBuffer: peerWriteBuffer,
-		Ended:       newEnds(s.log, s.metrics.Scope, "nodes", s.state).ended,
+		OnConnEnd:   newEnds(s.log, s.metrics.Scope, "nodes", s.state).ended,
 	})
 	s.servers.ready = http1.NewServer(http1.Config{Handler: s.readyHandler()})
 	s.servers.metrics = http1.NewServer(http1.Config{Handler: s.adminHandler()})
--- a/internal/sidecar/cold_guard.go
+++ b/internal/sidecar/cold_guard.go
@@ -58,18 +58,18 @@
 }
 
 // follow takes over what is published of the own upstream. The follower's lock is held.
-func (g *coldGuard) follow(own discovery.Known) {
-	terms := g.follower.Starts(own.Service)
+func (g *coldGuard) follow(own discovery.KnownUpstream) {
+	terms := g.follower.ColdStart(own.Service)
 	g.backend.SetColdRate(terms.Rate)
 	if terms.Rate <= 0 {
 		return
 	}
-	g.begin(coldNodeStart, g.began, g.began.Add(terms.Cold))
+	g.begin(coldNodeStart, g.began, g.began.Add(terms.Duration))
 	if own.ColdFrom.IsZero() {
 		return
 	}
 	cause := coldPublished
-	if own.Cold == 0 {
+	if own.ColdFor == 0 {
 		cause = coldReopened
 	}
 	g.begin(cause, own.ColdFrom, own.ColdUntil)
@@ -98,13 +98,13 @@
 		g.lost.Store(true)
 		return
 	}
-	terms := g.follower.Starts(g.service())
+	terms := g.follower.ColdStart(g.service())
 	if terms.Rate <= 0 {
 		return
 	}
 	if g.lost.Load() && g.lost.Swap(false) {
 		now := clock.Now()
-		g.begin(coldReturned, now, now.Add(terms.Cold))
+		g.begin(coldReturned, now, now.Add(terms.Duration))
 	}
 	if g.unasked.Add(1) >= int64(terms.Rate) {
 		g.askNow()
@@ -190,7 +190,7 @@
 func (g *coldGuard) fetch() (time.Duration, error) {
 	ctx, cancel := context.WithTimeout(g.ctx, askTimeout)
 	defer cancel()
-	path := g.follower.Starts(g.service()).Health
+	path := g.follower.ColdStart(g.service()).HealthPath
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, g.address+path, nil)
 	if err != nil {
 		return 0, errors.Wrap(err, "ask the own upstream")
@@ -201,7 +201,7 @@
 	}
 	defer func() { _ = resp.Body.Close() }()
 	_, _ = io.Copy(io.Discard, resp.Body) // so that its connection can be used again
-	left, ok := g.dialect.ColdLeft(resp.Header)
+	left, ok := g.dialect.ColdRemaining(resp.Header)
 	if !ok {
 		return 0, errors.Wrap(errColdNotTold, resp.Status)
 	}
--- a/internal/sidecar/cold_test.go
+++ b/internal/sidecar/cold_test.go
@@ -91,13 +91,13 @@
 	}
 	f.store.change(func(u *discovery.Update) {
 		u.Document = document(2)
-		u.Document.Starts = map[string]discovery.StartTerms{"shop": {Cold: coldTime, Rate: coldRate, Health: "/healthy"}}
+		u.Document.ColdStarts = map[string]discovery.ColdStart{"shop": {Duration: coldTime, Rate: coldRate, HealthPath: "/healthy"}}
 	})
 	for _, s := range f.sidecars {
-		for s.follower.Starts("shop").Rate == 0 {
+		for s.follower.ColdStart("shop").Rate == 0 {
 			time.Sleep(time.Millisecond)
 		}
-		for s.backend.HeldBack() != "" { // each asked its upstream, which is warm
+		for s.backend.Restriction() != "" { // each asked its upstream, which is warm
 			time.Sleep(time.Millisecond)
 		}
 	}
@@ -139,7 +139,7 @@
 	seen[0].turnCold()
 	began := time.Now()
 	f.store.change(func(u *discovery.Update) {
-		u.Upstreams[0].Cold, u.Upstreams[0].Revision = coldTime, u.Revision
+		u.Upstreams[0].ColdFor, u.Upstreams[0].Revision = coldTime, u.Revision
 	})
 	for _, s := range f.sidecars {
 		for m, _ := s.follower.Member("shop-0"); m.ColdUntil.IsZero(); m, _ = s.follower.Member("shop-0") {
@@ -169,11 +169,11 @@
 	began := time.Now()
 	f.store.change(func(u *discovery.Update) {
 		for i := range u.Upstreams {
-			u.Upstreams[i].Cold, u.Upstreams[i].Revision = coldTime, u.Revision
+			u.Upstreams[i].ColdFor, u.Upstreams[i].Revision = coldTime, u.Revision
 		}
 	})
 	for _, s := range f.sidecars {
-		for s.backend.HeldBack() == "" {
+		for s.backend.Restriction() == "" {
 			time.Sleep(time.Millisecond)
 		}
 	}
--- a/internal/sidecar/cut_test.go
+++ b/internal/sidecar/cut_test.go
@@ -38,7 +38,7 @@
 		began <- r.URL.Path
 		<-over
 	})
-	s.frontend.SetLeaving(proxy.Leave{Began: time.Now(), Announced: time.Now().Add(time.Hour), End: time.Now().Add(time.Hour)})
+	s.frontend.BeginShutdown(proxy.ShutdownSchedule{Start: time.Now(), AnnouncedBy: time.Now().Add(time.Hour), Deadline: time.Now().Add(time.Hour)})
 	// send returns the status of an answer whose body came to its end, or not.
 	send := func(path string) (status chan int, cut chan error) {
 		status, cut = make(chan int, 1), make(chan error, 1)
--- a/internal/sidecar/drain.go
+++ b/internal/sidecar/drain.go
@@ -12,8 +12,8 @@
 func (s *Sidecar) drain() {
 	l := newLeave(clock.Now(), s.cfg.DrainAnnounce, s.cfg.DrainTimeout)
 	s.leaving.Store(true)
-	s.frontend.SetLeaving(proxy.Leave{Began: l.began, Announced: l.told(), End: l.end()})
-	s.backend.SetEnd(l.end())
+	s.frontend.BeginShutdown(proxy.ShutdownSchedule{Start: l.began, AnnouncedBy: l.told(), Deadline: l.end()})
+	s.backend.SetShutdownDeadline(l.end())
 	s.log.Info("leaving", "timeout", s.cfg.DrainTimeout)
 	for l.at != ended {
 		if l.next(clock.Now(), s.progress()) {
@@ -35,15 +35,15 @@
 		s.backend.SetLeaving(true)
 	case draining:
 		s.backend.SetDraining(true)
-		s.servers.callers.Announce()
-		s.servers.peers.Announce()
+		s.servers.callers.AnnounceClose()
+		s.servers.peers.AnnounceClose()
 	case refusing:
-		s.frontend.Refuse()
+		s.frontend.RefuseAll()
 	case cutting:
-		s.frontend.Refuse()
+		s.frontend.RefuseAll()
 		s.cut()
 	case closing:
-		s.frontend.EndAll()
+		s.frontend.CancelAll()
 		s.servers.callers.Drain()
 		s.servers.peers.Drain()
 	case stopped:
@@ -58,6 +58,6 @@
 // the process ended, ran and lost its answer, 15 of 60 requests in a test.
 func (s *Sidecar) cut() {
 	s.log.Warn("shutdown timeout cuts requests", "requests", s.backend.InFlight()+s.frontend.InFlight())
-	s.frontend.EndRuns()
-	s.backend.Dismiss(admission.ReasonDraining)
+	s.frontend.CancelUnanswered()
+	s.backend.RefuseAll(admission.ReasonDraining)
 }
--- a/internal/sidecar/ends.go
+++ b/internal/sidecar/ends.go
@@ -56,8 +56,8 @@
 		c.unread.Inc(1)
 	}
 	// A caller that leaves or was told expects no more answers.
-	left := end.Unread || end.Unanswered > 0 || end.Crossed > 0 && end.Cause != http1.EndRefused
-	if !left || end.Cause == http1.EndCallerGone || end.Cause == http1.EndTold && end.Unanswered == 0 {
+	left := end.Unread || end.Unanswered > 0 || end.BytesAfterClose > 0 && end.Cause != http1.EndHeadRejected
+	if !left || end.Cause == http1.EndCallerDisconnected || end.Cause == http1.EndAnnounced && end.Unanswered == 0 {
 		return
 	}
 	leftOut, ok := e.budget.take()
@@ -70,8 +70,8 @@
 		"cause", string(end.Cause),
 		"unread", end.Unread,
 		"unanswered", end.Unanswered,
-		"crossed", end.Crossed,
-		"late_ms", millis(end.Late),
+		"crossed", end.BytesAfterClose,
+		"late_ms", millis(end.DetectionDelay),
 		"table_age_ms", millis(state.tableAge),
 		"leaving", state.leaving,
 		"left_out", leftOut,
--- a/internal/sidecar/ends_test.go
+++ b/internal/sidecar/ends_test.go
@@ -23,11 +23,11 @@
 		return nodeState{tableAge: 1200 * time.Millisecond, leaving: true}
 	})
 	e.ended(http1.ConnEnd{Cause: http1.EndIdle})
-	e.ended(http1.ConnEnd{Cause: http1.EndTold, Unread: true})        // callers send it again
-	e.ended(http1.ConnEnd{Cause: http1.EndCallerGone, Unanswered: 1}) // nobody to answer
-	e.ended(http1.ConnEnd{Cause: http1.EndRefused, Crossed: 300_000}) // the rest of a refused body
+	e.ended(http1.ConnEnd{Cause: http1.EndAnnounced, Unread: true})                // callers send it again
+	e.ended(http1.ConnEnd{Cause: http1.EndCallerDisconnected, Unanswered: 1})      // nobody to answer
+	e.ended(http1.ConnEnd{Cause: http1.EndHeadRejected, BytesAfterClose: 300_000}) // the rest of a refused body
 	assert.Equal(t, out.String(), "")
-	e.ended(http1.ConnEnd{Cause: http1.EndIdle, Unread: true, Late: 700 * time.Millisecond})
+	e.ended(http1.ConnEnd{Cause: http1.EndIdle, Unread: true, DetectionDelay: 700 * time.Millisecond})
 	for _, want := range []string{"cause=idle", "unread=true", "late_ms=700", "table_age_ms=1200", "leaving=true"} {
 		assert.Assert(t, strings.Contains(out.String(), want), "%s in %s", want, out.String())
 	}
@@ -46,7 +46,7 @@
 	var out bytes.Buffer
 	e := newEnds(log.New(&out), tally.NoopScope, "callers", func(time.Time) nodeState { return nodeState{} })
 	for range 10 * lineBurst {
-		e.ended(http1.ConnEnd{Cause: http1.EndCut, Unanswered: 1})
+		e.ended(http1.ConnEnd{Cause: http1.EndResponseAborted, Unanswered: 1})
 	}
 	assert.Assert(t, strings.Count(out.String(), "\n") < 5*lineBurst)
 	assert.Assert(t, e.budget.missed.Load() > 0)
--- a/internal/sidecar/evacuation_test.go
+++ b/internal/sidecar/evacuation_test.go
@@ -26,8 +26,8 @@
 // again.
 func (f *fleet) evacuate(centre string, over bool) {
 	f.store.change(func(u *discovery.Update) {
-		u.Orders = true
-		u.Evacuations = []discovery.Evacuation{{DataCentre: centre, Revision: u.Revision, Over: over}}
+		u.HasEvacuations = true
+		u.Evacuations = []discovery.Evacuation{{DataCentre: centre, Revision: u.Revision, Ended: over}}
 	})
 }
 
--- a/internal/sidecar/fall.go
+++ b/internal/sidecar/fall.go
@@ -23,15 +23,15 @@
 
 // fell takes over a fall of the own upstream under requests: others have to know before
 // the next of them gets one that may be the cause.
-func (s *Sidecar) fell(f proxy.Fall) {
-	if f.First {
+func (s *Sidecar) fell(f proxy.Crash) {
+	if f.FirstReport {
 		s.metrics.Scope.Counter("upstream_falls").Inc(1)
 	}
 	s.held.fell(f)
 	load := s.backend.Load()
 	s.log.Warn("own upstream fell",
 		"upstream", f.Upstream,
-		"first", f.First,
+		"first", f.FirstReport,
 		"requests", len(f.Requests),
 		"fingerprints", formatFingerprints(f.Requests),
 		"slots_in_use", load.InUse,
--- a/internal/sidecar/faults_test.go
+++ b/internal/sidecar/faults_test.go
@@ -326,9 +326,9 @@
 	for range n {
 		f.send(f.request(0, "GET", "/read/x", ""))
 	}
-	dialed := f.sidecars[0].hop.Dialed()
+	dialed := f.sidecars[0].hop.DialCount()
 	for _, s := range f.sidecars {
-		dialed += s.upstream.Dialed()
+		dialed += s.upstream.DialCount()
 	}
 	assert.Assert(t, dialed < n/3, "%d connections for %d requests", dialed, n)
 }
--- a/internal/sidecar/fleet_test.go
+++ b/internal/sidecar/fleet_test.go
@@ -61,7 +61,7 @@
 	return u, nil
 }
 
-func (m *memoryStore) Glance(ctx context.Context) (discovery.Update, error) { return m.List(ctx) }
+func (m *memoryStore) ListStale(ctx context.Context) (discovery.Update, error) { return m.List(ctx) }
 
 func (m *memoryStore) Watch(ctx context.Context, after uint64, wait time.Duration) (discovery.Update, error) {
 	timer := time.NewTimer(wait)
--- a/internal/sidecar/held.go
+++ b/internal/sidecar/held.go
@@ -27,7 +27,7 @@
 	urgent, soon, told chan struct{}
 
 	mu   sync.Mutex // guards what follows
-	book *quarantine.Book
+	book *quarantine.Tracker
 }
 
 func newHeldRequests(s *Sidecar) *heldRequests {
@@ -46,7 +46,7 @@
 		urgent: make(chan struct{}, 1),
 		soon:   make(chan struct{}, 1),
 		told:   make(chan struct{}, 1),
-		book:   quarantine.NewBook(cfg),
+		book:   quarantine.NewTracker(cfg),
 	}
 }
 
@@ -59,9 +59,9 @@
 }
 
 // fell takes over a fall of the own upstream.
-func (h *heldRequests) fell(f proxy.Fall) {
+func (h *heldRequests) fell(f proxy.Crash) {
 	h.mu.Lock()
-	h.book.Fell(clock.Now(), f.ID, h.others.service(), f.Requests)
+	h.book.UpstreamCrashed(clock.Now(), f.ID, h.others.service(), f.Requests)
 	h.mu.Unlock()
 	wake(h.urgent)
 }
@@ -80,7 +80,7 @@
 	h.mu.Unlock()
 	if v.Probe {
 		wake(h.urgent)
-		h.log.Warn("request tried again", "fingerprint", r.String(), "service", service, "falls", v.Falls)
+		h.log.Warn("request tried again", "fingerprint", r.String(), "service", service, "falls", v.Crashes)
 	}
 	return v
 }
@@ -96,7 +96,7 @@
 }
 
 // Refused is described at proxy.Quarantine.
-func (h *heldRequests) Refused(r quarantine.Fingerprint, service string, v quarantine.Verdict, about quarantine.About) {
+func (h *heldRequests) Refused(r quarantine.Fingerprint, service string, v quarantine.Verdict, about quarantine.RequestInfo) {
 	h.refused.Inc(1)
 	h.mu.Lock()
 	first := h.book.Refused(clock.Now(), r, service, about)
@@ -111,7 +111,7 @@
 	h.log.Warn("request held back",
 		"fingerprint", r.String(),
 		"service", service,
-		"falls", v.Falls,
+		"falls", v.Crashes,
 		"tried_again", v.After,
 		"method", about.Method,
 		"host", about.Host,
@@ -134,10 +134,10 @@
 }
 
 // list returns what is held back now.
-func (h *heldRequests) list(now time.Time) []quarantine.HeldRequest {
+func (h *heldRequests) list(now time.Time) []quarantine.QuarantinedRequest {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.book.HeldBack(now)
+	return h.book.Quarantined(now)
 }
 
 func (h *heldRequests) sweep(now time.Time) {
--- a/internal/sidecar/held_relay_test.go
+++ b/internal/sidecar/held_relay_test.go
@@ -68,7 +68,7 @@
 			urgent: make(chan struct{}, 1),
 			soon:   make(chan struct{}, 1),
 			told:   make(chan struct{}, 1),
-			book:   quarantine.NewBook(quarantine.DefaultConfig()),
+			book:   quarantine.NewTracker(quarantine.DefaultConfig()),
 		}
 	}
 	return s
@@ -77,7 +77,7 @@
 // tellAll has one sidecar tell a fall, and waits until all that are alive know of it.
 func (s *siblingsOf) tellAll(t *testing.T, teller *heldRequests) {
 	t.Helper()
-	teller.book.Fell(time.Now(), 1, "s", []quarantine.Fingerprint{7})
+	teller.book.UpstreamCrashed(time.Now(), 1, "s", []quarantine.Fingerprint{7})
 	teller.tellSiblings(context.Background())
 	deadline := time.Now().Add(10 * time.Second)
 	for knowing := 0; knowing < len(s.all)-len(s.dead); {
--- a/internal/sidecar/held_test.go
+++ b/internal/sidecar/held_test.go
@@ -102,7 +102,7 @@
 	teller.others.client = toldOnly{first.hop}
 	go teller.run(t.Context())
 	for id := range uint64(2) {
-		teller.fell(proxy.Fall{ID: id, Requests: []quarantine.Fingerprint{7}})
+		teller.fell(proxy.Crash{ID: id, Requests: []quarantine.Fingerprint{7}})
 	}
 	f.sidecars = f.sidecars[1:]
 	f.awaitHeld(1)
@@ -114,7 +114,7 @@
 func TestReleaseOfAnotherRequestLosesNothing(t *testing.T) {
 	f := startFleet(t, 1, 0)
 	h := newHeldRequests(f.sidecars[0])
-	h.fell(proxy.Fall{ID: 1, Requests: []quarantine.Fingerprint{7}})
+	h.fell(proxy.Crash{ID: 1, Requests: []quarantine.Fingerprint{7}})
 	assert.Assert(t, !h.release(t.Context(), 8))
 	assert.Assert(t, h.book.Changed())
 }
@@ -144,11 +144,11 @@
 	asked := make(chan struct{}, 8)
 	teller.others.client = silentToComparisons{toldOnly{first.hop}, asked, t.Context().Done()}
 	go teller.run(t.Context())
-	teller.fell(proxy.Fall{ID: 1, Requests: []quarantine.Fingerprint{7}})
+	teller.fell(proxy.Crash{ID: 1, Requests: []quarantine.Fingerprint{7}})
 	for range len(f.sidecars) { // one at the start with each of the others, then one more
 		<-asked
 	}
-	teller.fell(proxy.Fall{ID: 2, Requests: []quarantine.Fingerprint{7}})
+	teller.fell(proxy.Crash{ID: 2, Requests: []quarantine.Fingerprint{7}})
 	f.sidecars = f.sidecars[1:]
 	f.awaitHeld(1)
 	f.sidecars = append([]*Sidecar{first}, f.sidecars...)
--- a/internal/sidecar/news_test.go
+++ b/internal/sidecar/news_test.go
@@ -69,7 +69,7 @@
 	addr := listenFull(t)
 	ask := func(c *http1.Client) error {
 		defer c.Close()
-		_, err := discovery.PeerClient{Transport: c}.Ask(t.Context(), addr, discovery.Ask{})
+		_, err := discovery.PeerClient{Transport: c}.Ask(t.Context(), addr, discovery.PeerRequest{})
 		return err
 	}
 	requests := http1.DefaultClientConfig()
--- a/internal/sidecar/quota.go
+++ b/internal/sidecar/quota.go
@@ -96,14 +96,14 @@
 	for range takeTries {
 		q.mu.Lock()
 		var v quota.Verdict
-		v, after = q.borrower.Take(clock.Now(), c.Name, limitOf(c), q.homes.count())
+		v, after = q.borrower.Admit(clock.Now(), c.Name, limitOf(c), q.homes.count())
 		var answer chan struct{}
-		if v == quota.AllowedAsk || v == quota.MustAsk {
+		if v == quota.AllowedAndBorrow || v == quota.MustBorrow {
 			answer = q.ask(c)
 		}
 		q.mu.Unlock()
 		switch v {
-		case quota.Allowed, quota.AllowedAsk:
+		case quota.Allowed, quota.AllowedAndBorrow:
 			return true, 0
 		case quota.Refused:
 			q.counts.refused.Inc(1)
@@ -137,9 +137,9 @@
 	}
 	answer := make(chan struct{})
 	now := clock.Now()
-	r := q.borrower.Ask(now, c.Name)
+	r := q.borrower.StartBorrowing(now, c.Name)
 	if home := q.homes.of(c.Name); home.self {
-		q.borrower.Granted(now, now, c.Name, r, q.lender.Lend(now, home.since, c.Name, limitOf(c), r))
+		q.borrower.ApplyGrant(now, now, c.Name, r, q.lender.Lend(now, home.since, c.Name, limitOf(c), r))
 		close(answer)
 		return answer
 	}
@@ -161,9 +161,9 @@
 	defer q.mu.Unlock()
 	if err != nil {
 		q.counts.unreached.Inc(1)
-		q.borrower.Unreached(clock.Now(), customer, r)
+		q.borrower.OwnerUnreachable(clock.Now(), customer, r)
 	} else {
-		q.borrower.Granted(clock.Now(), sent, customer, r, g)
+		q.borrower.ApplyGrant(clock.Now(), sent, customer, r, g)
 	}
 	delete(q.asking, customer)
 	close(answer)
@@ -241,7 +241,7 @@
 	if home.self {
 		return q.lender.Lend(now, home.since, ask.Customer, limit, ask.Request), nil
 	}
-	return q.lender.LendAsDeputy(now, ask.Customer, limit, ask.Request.Want), nil
+	return q.lender.LendAsStandby(now, ask.Customer, limit, ask.Request.Want), nil
 }
 
 // limit returns the limit of a customer in the table in force.
@@ -268,7 +268,7 @@
 	defer q.mu.Unlock()
 	for _, c := range snap.Customers().All() {
 		count := q.borrower.Count(c.Name)
-		row := admin.CustomerQuota{Customer: c.Name, Keys: len(c.Keys), Rate: c.Rate, Burst: c.Burst, Taken: count.Taken, Refused: count.Refused}
+		row := admin.CustomerQuota{Customer: c.Name, Keys: len(c.Keys), Rate: c.Rate, Burst: c.Burst, Taken: count.Admitted, Refused: count.Refused}
 		if c.Rate > 0 {
 			home := q.homes.of(c.Name)
 			row.Home = home.peer.String()
@@ -285,7 +285,7 @@
 func (q *customerQuotas) interrupted(now time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.lender.Interrupted(now)
+	q.lender.Paused(now)
 }
 
 // sweep forgets what is of no use any more. One that comes late says that the process stood
@@ -294,7 +294,7 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if !q.swept.IsZero() && now.Sub(q.swept) > standstill {
-		q.lender.Interrupted(now)
+		q.lender.Paused(now)
 	}
 	q.swept = now
 	maps.DeleteFunc(q.silent, func(_ netip.AddrPort, until time.Time) bool { return now.After(until) })
--- a/internal/sidecar/quota_homes.go
+++ b/internal/sidecar/quota_homes.go
@@ -83,7 +83,7 @@
 	if ok && known.listed == h.listed {
 		return known
 	}
-	home, deputy := quota.Homes(customer, maps.Keys(h.peers))
+	home, deputy := quota.Owners(customer, maps.Keys(h.peers))
 	next := customerHome{since: known.since, listed: h.listed}
 	next.peer, _ = netip.ParseAddrPort(home)
 	next.deputy, _ = netip.ParseAddrPort(deputy)
--- a/internal/sidecar/record.go
+++ b/internal/sidecar/record.go
@@ -35,12 +35,12 @@
 		"status", rec.Status,
 		"outcome", rec.Outcome,
 		"reason", rec.Reason,
-		"not_retried", string(rec.Retry),
+		"not_retried", string(rec.NotRetried),
 		"took_ms", millis(rec.Took),
 		"allowed_ms", millis(rec.Deadline),
 		"age_ms", millis(rec.Age),
 		"late", rec.Late,
-		"news_age_ms", millis(rec.NewsAge),
+		"news_age_ms", millis(rec.Staleness),
 		"cut", string(rec.Cut.Reason),
 		"sent", rec.Cut.Sent,
 		"table_age_ms", millis(rec.Cut.TableAge),
@@ -52,18 +52,18 @@
 }
 
 // leavingFields are those of a request that a leaving node took, refused or cut.
-func leavingFields(l *proxy.Leaving) []any {
+func leavingFields(l *proxy.ShutdownRecord) []any {
 	if l == nil {
 		return nil
 	}
 	return []any{
 		"leaving", l.Stage,
 		"leaving_ms", millis(l.Since),
-		"left_ms", millis(l.Left),
-		"bound_ms", millis(l.Bound),
-		"forecast_ms", millis(l.Forecast),
+		"left_ms", millis(l.UntilShutdown),
+		"bound_ms", millis(l.UntilDeadline),
+		"forecast_ms", millis(l.UsualTime),
 		"samples", math.Round(l.Samples),
-		"fate", string(l.Fate),
+		"fate", string(l.Outcome),
 	}
 }
 
--- a/internal/sidecar/reload.go
+++ b/internal/sidecar/reload.go
@@ -22,9 +22,11 @@
 	seen stamp
 }
 
-// SeenNow returns a file as it is now. Call it before the file is read: a change that
+// NewSettingsFile returns a file as it is now. Call it before the file is read: a change that
 // comes after, and before the file is watched, is then not taken for what was read.
-func SeenNow(path string) *SettingsFile { return &SettingsFile{path: path, seen: fileState(path)} }
+func NewSettingsFile(path string) *SettingsFile {
+	return &SettingsFile{path: path, seen: fileState(path)}
+}
 
 // WatchSettings takes over changed settings until ctx ends: at once on SIGHUP,
 // otherwise when the file's time or size differs. load reads the file; its
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -53,7 +53,7 @@
 	// own is the own upstream as published last, and closed why it gets no work: at
 	// first since it is not published, which alone refuses nothing. Both are guarded by
 	// the follower.
-	own    discovery.Known
+	own    discovery.KnownUpstream
 	closed admission.Reason
 	guard  *coldGuard
 	held   *heldRequests
@@ -114,7 +114,7 @@
 
 // closedFor says why the own upstream gets no work, by what is published of it;
 // ReasonNone if it does.
-func (s *Sidecar) closedFor(d *discovery.Directory, own discovery.Known, published bool) admission.Reason {
+func (s *Sidecar) closedFor(d *discovery.Directory, own discovery.KnownUpstream, published bool) admission.Reason {
 	switch {
 	case !published || own.Leaving:
 		return admission.ReasonDraining
@@ -125,18 +125,18 @@
 }
 
 // followLife gives up what belongs to an earlier life of the own upstream.
-func (s *Sidecar) followLife(own discovery.Known) {
+func (s *Sidecar) followLife(own discovery.KnownUpstream) {
 	before := s.own
 	s.own = own
 	if before.ID != "" && own.ID != before.ID {
-		s.backend.Replaced()
+		s.backend.UpstreamReplaced()
 	}
-	if own.ID != before.ID || before.Born == 0 || own.Born <= before.Born {
+	if own.ID != before.ID || before.StartedAtMs == 0 || own.StartedAtMs <= before.StartedAtMs {
 		return
 	}
-	s.log.Info("own upstream restarted", "upstream", own.ID, "born", own.Born, "before", before.Born)
+	s.log.Info("own upstream restarted", "upstream", own.ID, "born", own.StartedAtMs, "before", before.StartedAtMs)
 	s.upstream.Reset()
-	s.backend.Restarted()
+	s.backend.UpstreamRestarted()
 }
 
 // followUpstream takes work for the own upstream while that is published as ready and
@@ -152,7 +152,7 @@
 		s.backend.SetDraining(s.leaving.Load())
 		return
 	}
-	s.backend.Dismiss(closed)
+	s.backend.RefuseAll(closed)
 }
 
 // Ready reports whether callers may come.
@@ -200,15 +200,15 @@
 func (s *Sidecar) resumed(away time.Duration) {
 	s.metrics.Scope.Counter("suspensions").Inc(1)
 	s.log.Warn("machine was suspended", "for", away)
-	s.follower.Resumed()
+	s.follower.HandleResume()
 	s.quotas.interrupted(clock.Now())
 }
 
 // sweep forgets what is too old. Idle connections go by the steady time that it is given.
 func (s *Sidecar) sweep(steady time.Time) {
-	s.hop.Sweep(steady)
-	s.news.Sweep(steady)
-	s.upstream.Sweep(steady)
+	s.hop.CloseExpired(steady)
+	s.news.CloseExpired(steady)
+	s.upstream.CloseExpired(steady)
 	s.frontend.Prune()
 	s.held.sweep(clock.Now())
 	s.quotas.sweep(clock.Now())
@@ -237,7 +237,7 @@
 	m.Gauge("store_reader").Update(boolGauge(follow.Reader))
 	m.Gauge("evacuated_data_centres").Update(float64(len(follow.Evacuated)))
 	m.Gauge("store_calls").Update(float64(s.follower.Calls()))
-	m.Gauge("news_age_seconds").Update(follow.Age.Seconds())
-	m.Gauge("store_away_seconds").Update(s.follower.AwayFor(clock.Now()).Seconds())
-	m.Gauge("upstream_connections_made").Update(float64(s.upstream.Dialed()))
+	m.Gauge("news_age_seconds").Update(follow.Staleness.Seconds())
+	m.Gauge("store_away_seconds").Update(s.follower.StoreUnreachableFor(clock.Now()).Seconds())
+	m.Gauge("upstream_connections_made").Update(float64(s.upstream.DialCount()))
 }
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -83,7 +83,7 @@
 	}
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan struct{})
-	seen := SeenNow(file)
+	seen := NewSettingsFile(file)
 	go func() { s.WatchSettings(ctx, seen, load); close(done) }()
 	caller := func() string {
 		_, h, _ := f.send(f.request(0, "GET", "/read/x", ""))
@@ -115,7 +115,7 @@
 	s := f.sidecars[0]
 	file := filepath.Join(t.TempDir(), "s.ini")
 	assert.NilError(t, os.WriteFile(file, []byte("1"), 0o600))
-	seen := SeenNow(file)
+	seen := NewSettingsFile(file)
 	replace(t, file, "22")
 	loaded := make(chan struct{}, 8)
 	load := func() (*settings.Sidecar, error) { loaded <- struct{}{}; return s.cfg, nil }
--- a/internal/standin/layout.go
+++ b/internal/standin/layout.go
@@ -188,7 +188,7 @@
 		}
 		l.Instances = append(l.Instances, membership.Instance{
 			Name: p.Name, Service: p.Service, DataCentre: p.DataCentre, Region: p.Region,
-			Peer: addr, State: membership.Live,
+			Peer: addr, State: membership.ListedLive,
 		})
 	}
 	b, err := json.MarshalIndent(l, "", " ")
