--- a/internal/immutable/cowmap_test.go
+++ b/internal/immutable/map_test.go
@@ -8,24 +8,24 @@
 	"gotest.tools/v3/assert"
 )
 
-// A changed copy has what a plain map would have, and the map before stays as it was.
-func TestAgainstPlainMap(t *testing.T) {
+// An updated copy has the same entries as a plain map, and the original is unchanged.
+func TestUpdateAgainstPlainMap(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(1, 2))
 	m, plain := New(map[int]int{}), map[int]int{}
 	for step := range 2000 {
-		set, gone := map[int]int{}, []int{}
+		set, removed := map[int]int{}, []int{}
 		for range rnd.IntN(4) {
 			k := rnd.IntN(400)
 			if rnd.IntN(3) == 0 {
-				gone = append(gone, k)
+				removed = append(removed, k)
 			} else {
 				set[k] = step
 			}
 		}
 		before := maps.Clone(plain)
-		next := m.Update(set, gone)
+		next := m.Update(set, removed)
 		assert.DeepEqual(t, maps.Collect(m.All()), before)
-		for _, k := range gone {
+		for _, k := range removed {
 			delete(plain, k)
 		}
 		maps.Copy(plain, set)
@@ -33,8 +33,8 @@
 		assert.Equal(t, m.Len(), len(plain))
 		for k := range 400 {
 			v, ok := m.Get(k)
-			want, there := plain[k]
-			assert.Assert(t, ok == there && v == want)
+			want, present := plain[k]
+			assert.Assert(t, ok == present && v == want)
 		}
 	}
 }
