--- a/internal/proxy/backend.go
+++ b/internal/proxy/backend.go
@@ -23,117 +23,119 @@
 type BackendConfig struct {
 	Name     string   // the upstream beside this node
 	Upstream *url.URL // its address
-	// Slots is the number of requests it works on at once, where the table
+	// Slots is the number of requests that the upstream runs concurrently if the table
 	// gives none.
 	Slots int
 	// QueueLimit is the number of requests that may wait for a slot.
 	QueueLimit int
 	Ledger     ledger.Config
-	// Dialect names the headers of the upstream. Default: DefaultDialect.
+	// Dialect names the upstream's headers. Default: DefaultDialect.
 	Dialect Dialect
-	// Transport calls the upstream; nil means net/http with a pool.
+	// Transport calls the upstream. Default nil: net/http with a connection pool.
 	Transport http.RoundTripper
-	// OnConnect is called with each request to the upstream: whether a connection to it
-	// could be made. Nil for none.
+	// OnConnect is called with each request to the upstream; ok says whether a
+	// connection could be made. Default nil: not called.
 	OnConnect func(ok bool)
-	// RefusesConnections reports whether the upstream refuses connections now, as it does when its
-	// process has ended; it is asked when the connection of a request broke. Nil: falls
-	// of the upstream are not noticed.
+	// RefusesConnections probes whether the upstream refuses connections, as it does
+	// once its process has ended. It is called when the connection of a request breaks.
+	// Default nil: the upstream is not probed then.
 	RefusesConnections func() bool
-	// OnCrash is told of a fall of the upstream under requests, more than once if more is
-	// learnt of it. Nil for none.
+	// OnCrash is called when the upstream crashes with requests in flight, and again
+	// when more requests turn out to have been affected. Default nil: not called.
 	OnCrash func(Crash)
-	// Quarantine holds requests back that end upstreams. Default: none are.
+	// Quarantine refuses requests that crash upstreams. Default: no request is refused.
 	Quarantine Quarantine
-	// ResponseBufferLimit is as in FrontendConfig.
+	// ResponseBufferLimit: see FrontendConfig.ResponseBufferLimit.
 	ResponseBufferLimit int64
-	// MaxReceives is the number of bodies that are received from other nodes at
-	// once, each before its request takes a slot. More fills a long link, fewer
-	// leaves a narrow one free for short requests. Default 0: bodies go on to the
-	// upstream as they come.
+	// MaxReceives is the number of request bodies that are received from other nodes
+	// concurrently, each before its request takes a slot. More uses a link with high
+	// latency better, fewer leaves a narrow link free for short requests. Default 0:
+	// bodies stream to the upstream as they arrive.
 	MaxReceives int
-	// MaxReceivedBody is the longest body received so, in bytes.
+	// MaxReceivedBody is the longest request body that is received before its request
+	// takes a slot, in bytes.
 	MaxReceivedBody int64
-	// MaxSends is the number of long answers that are sent to other nodes at once,
-	// each after its request gave its slot back. More fills a long link, fewer
-	// leaves a narrow one free for short answers. Default 0: no bound.
+	// MaxSends is the number of long responses that are sent to other nodes
+	// concurrently, each after its request released its slot. More uses a link with
+	// high latency better, fewer leaves a narrow link free for short responses. Default
+	// 0: no bound.
 	MaxSends int
-	// SendBufferLimit is the longest answer kept for its turn, in bytes, and
-	// SendBufferTotal the sum of all that are kept, from which on longer ones than
-	// WholeAnswers stream.
+	// SendBufferLimit is the longest response that is buffered while it waits to be
+	// sent, in bytes. SendBufferTotal bounds the sum of these: once it is reached,
+	// responses longer than ResponseBufferLimit stream.
 	SendBufferLimit, SendBufferTotal int64
 }
 
-// Backend admits work for the upstream beside it and calls it. It implements
+// Backend admits requests for the upstream beside this node and calls it. It implements
 // http.RoundTripper: the request carries an Envelope in its headers.
 type Backend struct {
-	cfg      BackendConfig
-	holder   *snapshot.Holder
-	gate     *admission.Gate
-	pooled   http.RoundTripper
-	fresh    http.RoundTripper
-	metrics  *Metrics
-	inflight atomic.Int64
-	claims   Claimer
-	leaving  atomic.Bool
-	end      atomic.Pointer[time.Time] // when this node cuts what runs; nil as long as it stays
-	denied   atomic.Pointer[string]    // the last instance that the upstream's address denied
-	receiver *turns                    // nil if bodies are not received first
-	sender   *turns                    // nil if long answers are sent as they come
-	kept     atomic.Int64              // bytes of answers kept for their turn
-	life     atomic.Pointer[life]      // of the upstream
-	falls    *fallWatch
+	cfg              BackendConfig
+	holder           *snapshot.Holder
+	gate             *admission.Gate
+	pooled           http.RoundTripper
+	unpooled         http.RoundTripper
+	metrics          *Metrics
+	inflight         atomic.Int64
+	claims           Claimer
+	reportsDraining  atomic.Bool
+	shutdownDeadline atomic.Pointer[time.Time]       // when this node cuts unanswered requests; nil unless it shuts down
+	deniedTarget     atomic.Pointer[string]          // last target that the upstream rejected as another instance's
+	receiveLimiter   *transferLimiter                // nil if bodies stream to the upstream
+	sendLimiter      *transferLimiter                // nil if long responses are not limited
+	sendBuffered     atomic.Int64                    // bytes of responses that wait to be sent
+	lifetime         atomic.Pointer[processLifetime] // of the upstream's current process
+	detector         *crashDetector
 
-	mu      sync.Mutex // guards what follows
-	runs    *overload.RunTimes
-	sizes   *overload.ResponseSizes
-	limits  *admission.Limits
-	ledger  *ledger.Ledger
-	history *ledger.OwnerHistory
+	mu            sync.Mutex // guards the fields below
+	runTimes      *overload.RunTimes
+	responseSizes *overload.ResponseSizes
+	limits        *admission.Limits
+	ledger        *ledger.Ledger
+	ownerHistory  *ledger.OwnerHistory
 }
 
-// Claimer asks the node beside an earlier home of a key about it.
+// Claimer sends claims on an idempotency key to the nodes beside its earlier owners.
 type Claimer interface {
-	Claim(ctx context.Context, home string, k ledger.Key, f ledger.Fence) (ledger.Verdict, error)
+	Claim(ctx context.Context, owner string, k ledger.Key, f ledger.Fence) (ledger.Verdict, error)
 }
 
-// upstreamConns bounds the idle connections kept to the upstream.
-const upstreamConns = 128
+// maxIdleUpstreamConns bounds the idle connections kept to the upstream.
+const maxIdleUpstreamConns = 128
 
-// upstreamDial bounds the connection to the upstream, which is on this machine.
-const upstreamDial = time.Second
+// upstreamDialTimeout bounds dialing the upstream, which runs on the same machine.
+const upstreamDialTimeout = time.Second
 
 // NewBackend returns the backend of one upstream.
 func NewBackend(cfg BackendConfig, holder *snapshot.Holder, claims Claimer, m *Metrics, now time.Time) *Backend {
 	if cfg.Dialect == (Dialect{}) {
 		cfg.Dialect = DefaultDialect()
 	}
-	dialer := &net.Dialer{Timeout: upstreamDial}
+	dialer := &net.Dialer{Timeout: upstreamDialTimeout}
 	pooled := &http.Transport{
 		DialContext:         dialer.DialContext,
-		MaxIdleConns:        upstreamConns,
-		MaxIdleConnsPerHost: upstreamConns,
+		MaxIdleConns:        maxIdleUpstreamConns,
+		MaxIdleConnsPerHost: maxIdleUpstreamConns,
 		IdleConnTimeout:     time.Minute,
 		DisableCompression:  true,
 	}
-	fresh := pooled.Clone()
-	fresh.DisableKeepAlives = true
+	unpooled := pooled.Clone()
+	unpooled.DisableKeepAlives = true
 	b := &Backend{
-		cfg:     cfg,
-		holder:  holder,
-		gate:    admission.NewGate(admission.Config{Slots: cfg.Slots, QueueLimit: cfg.QueueLimit}),
-		pooled:  pooled,
-		fresh:   fresh,
-		metrics: m,
-		claims:  claims,
-		runs:    overload.NewRunTimes(),
-		sizes:   overload.NewResponseSizes(),
-		limits:  admission.NewLimits(),
-		ledger:  ledger.New(cfg.Ledger, now),
-		history: ledger.NewOwnerHistory(cfg.Ledger),
-		falls:   newFallWatch(cfg.RefusesConnections, cfg.OnCrash),
+		cfg:           cfg,
+		holder:        holder,
+		gate:          admission.NewGate(admission.Config{Slots: cfg.Slots, QueueLimit: cfg.QueueLimit}),
+		pooled:        pooled,
+		unpooled:      unpooled,
+		metrics:       m,
+		claims:        claims,
+		runTimes:      overload.NewRunTimes(),
+		responseSizes: overload.NewResponseSizes(),
+		limits:        admission.NewLimits(),
+		ledger:        ledger.New(cfg.Ledger, now),
+		ownerHistory:  ledger.NewOwnerHistory(cfg.Ledger),
+		detector:      newCrashDetector(cfg.RefusesConnections, cfg.OnCrash),
 	}
-	b.life.Store(newLife())
+	b.lifetime.Store(newProcessLifetime())
 	if cfg.OnConnect == nil {
 		b.cfg.OnConnect = func(bool) {}
 	}
@@ -141,69 +143,71 @@
 		b.cfg.Quarantine = noQuarantine{}
 	}
 	if cfg.MaxReceives > 0 {
-		b.receiver = newTurns(cfg.MaxReceives)
+		b.receiveLimiter = newTransferLimiter(cfg.MaxReceives)
 	}
 	if cfg.MaxSends > 0 {
-		b.sender = newTurns(cfg.MaxSends)
+		b.sendLimiter = newTransferLimiter(cfg.MaxSends)
 	}
 	return b
 }
 
-// Apply takes over the slots, limits and homes of the snapshot in force.
+// Apply adopts the slots, limits and key owners of the snapshot in force.
 func (b *Backend) Apply(snap *snapshot.Snapshot) {
 	now := clock.Now()
 	slots := b.cfg.Slots
-	if u := snap.Upstream(b.cfg.Name); u != nil && u.Concurrency > 0 {
-		slots = u.Concurrency
+	if upstream := snap.Upstream(b.cfg.Name); upstream != nil && upstream.Concurrency > 0 {
+		slots = upstream.Concurrency
 	}
 	b.mu.Lock()
-	b.history.Add(now, snap)
-	if row, ok := limitRow(snap, b.cfg.Name); ok {
-		b.limits.Set(now, row)
+	b.ownerHistory.Add(now, snap)
+	if tableLimits, ok := rowLimits(snap, b.cfg.Name); ok {
+		b.limits.Set(now, tableLimits)
 	}
 	b.mu.Unlock()
 	b.gate.SetSlots(slots)
 }
 
-// limitRow collects what the table says about an upstream and its service.
-func limitRow(snap *snapshot.Snapshot, name string) (admission.RowLimits, bool) {
-	u := snap.Upstream(name)
-	if u == nil {
+// rowLimits collects the table's limits of an upstream and its service; false if the
+// table does not list the upstream.
+func rowLimits(snap *snapshot.Snapshot, name string) (admission.RowLimits, bool) {
+	upstream := snap.Upstream(name)
+	if upstream == nil {
 		return admission.RowLimits{}, false
 	}
-	svc := snap.Service(u.Service)
-	row := admission.RowLimits{
+	svc := snap.Service(upstream.Service)
+	limits := admission.RowLimits{
 		ServiceRate:        svc.Rate,
 		ServiceConcurrency: svc.Concurrency,
-		UpstreamRate:       u.Rate,
+		UpstreamRate:       upstream.Rate,
 	}
 	total := svc.TotalWeight()
-	for i, sib := range svc.Upstreams {
-		row.Shares = append(row.Shares, sib.Weight/total)
-		if sib.Name == name {
-			row.Self = i
+	for i, sibling := range svc.Upstreams {
+		limits.Shares = append(limits.Shares, sibling.Weight/total)
+		if sibling.Name == name {
+			limits.Self = i
 		}
 	}
-	return row, true
+	return limits, true
 }
 
-// SetSlots changes the number of requests that the upstream works on at once,
-// where no table gives it.
+// SetSlots changes the number of requests that the upstream runs concurrently if the
+// table gives none.
 func (b *Backend) SetSlots(n int) { b.gate.SetSlots(n) }
 
-// SetDraining refuses further work, or takes it again.
+// SetDraining makes the backend refuse further requests, or accept them again.
 func (b *Backend) SetDraining(on bool) { b.gate.SetDraining(on) }
 
-// RefuseAll refuses further work and what waits for a slot, as the upstream leaves or is
-// to get nothing: a request that waits up to its objective would reach it after all
-// others know of it.
-func (b *Backend) RefuseAll(why admission.Reason) { b.gate.RefuseAll(why) }
+// RefuseAll refuses further requests and those that wait for a slot, with the given
+// reason. It is used when the upstream leaves or must get no requests: a request may
+// wait as long as its objective allows, and would otherwise reach the upstream after
+// all other nodes have stopped sending to it.
+func (b *Backend) RefuseAll(reason admission.Reason) { b.gate.RefuseAll(reason) }
 
-// Restriction says why the upstream gets no work now, or less; empty if nothing holds it
-// back.
+// Restriction describes why the upstream gets no requests now, or fewer; empty if it is
+// unrestricted.
 func (b *Backend) Restriction() string {
-	if closed := b.gate.Closed(); closed != admission.ReasonNone {
-		return string(closed)
+	if reason := b.gate.Closed(); reason != admission.ReasonNone {
+		return string(reason)
 	}
 	if cold := b.gate.Forecast("", 1).Cold; cold > 0 {
 		return fmt.Sprintf("%s for %v more", admission.ReasonCold, cold.Round(time.Millisecond))
@@ -211,40 +215,41 @@
 	return ""
 }
 
-// SetColdRate bounds the requests that the upstream gets in any second while it is cold;
-// 0 sets no bound.
+// SetColdRate bounds the requests that the upstream gets in any second while it is
+// cold; 0 means no bound.
 func (b *Backend) SetColdRate(perSecond float64) { b.gate.SetColdRate(perSecond) }
 
-// SetCold says until when the upstream is cold.
+// SetCold sets the time until which the upstream is cold.
 func (b *Backend) SetCold(until time.Time) { b.gate.SetCold(until) }
 
-// SetLeaving tells callers' nodes with each answer that this node leaves soon,
-// while it still takes work.
-func (b *Backend) SetLeaving(on bool) { b.leaving.Store(on) }
+// SetLeaving makes every response's load report say that this node is draining, while
+// it still accepts requests.
+func (b *Backend) SetLeaving(on bool) { b.reportsDraining.Store(on) }
 
-// SetShutdownDeadline says that this node leaves and cuts at a time what is not answered by then.
-func (b *Backend) SetShutdownDeadline(end time.Time) { b.end.Store(&end) }
+// SetShutdownDeadline announces that this node shuts down and cuts requests that are
+// unanswered at the given time.
+func (b *Backend) SetShutdownDeadline(deadline time.Time) { b.shutdownDeadline.Store(&deadline) }
 
-// InFlight returns the requests admitted and not yet ended.
+// InFlight returns the number of requests that are being processed.
 func (b *Backend) InFlight() int64 { return b.inflight.Load() }
 
-// Load returns the slots in use.
+// Load returns the slots in use and the number of waiting requests.
 func (b *Backend) Load() admission.Load { return b.gate.Load() }
 
-// RoundTrip admits the request, calls the upstream and returns its answer, or
-// the answer of a refusal. It never returns an error.
+// RoundTrip admits the request, calls the upstream and returns its response, or the
+// response of a refusal. It never returns an error.
 func (b *Backend) RoundTrip(req *http.Request) (*http.Response, error) {
 	return b.admit(req, false), nil
 }
 
-// admit is RoundTrip for a request of this node or, with remote, of another one.
+// admit is RoundTrip for a request of this node or, if remote, of another one.
 func (b *Backend) admit(req *http.Request, remote bool) *http.Response {
 	env, err := readEnvelope(req.Header)
 	if err != nil {
 		return b.refuse(req, env, notRun(http.StatusBadRequest, retry.Refused, reasonBadRequest, 0))
 	}
-	if !b.standsFor(env.Target) {
-		return b.refuse(req, env, refusedBy(admission.Verdict{Reason: admission.ReasonWrongTarget, RetryAfter: defaultRetryAfter}))
+	if !b.isTarget(env.Target) {
+		return b.refuse(req, env, admissionProblem(admission.Verdict{Reason: admission.ReasonWrongTarget, RetryAfter: defaultRetryAfter}))
 	}
 	b.inflight.Add(1)
 	call := &backendCall{b: b, env: env, req: req, start: clock.Now(), remote: remote}
@@ -257,9 +262,9 @@
 	return resp
 }
 
-// standsFor reports whether the upstream beside this node can be the target.
-func (b *Backend) standsFor(target string) bool {
-	if denied := b.denied.Load(); denied != nil && *denied == target {
+// isTarget reports whether the upstream beside this node can be the request's target.
+func (b *Backend) isTarget(target string) bool {
+	if denied := b.deniedTarget.Load(); denied != nil && *denied == target {
 		return false
 	}
 	return b.cfg.Name == "" || target == b.cfg.Name
@@ -268,47 +273,49 @@
 func (b *Backend) refuse(req *http.Request, env Envelope, p *Problem) *http.Response {
 	b.metrics.refused(p.Reason)
 	resp := p.response(req)
-	b.stamp(resp.Header, env, req.ContentLength > receiveFrom)
+	b.setReportHeaders(resp.Header, env, req.ContentLength > receiveThreshold)
 	return resp
 }
 
-// stamp adds what the caller's node learns from every answer. A long request is
-// one whose body has to be received.
-func (b *Backend) stamp(h http.Header, env Envelope, long bool) {
-	f := b.gate.Forecast(env.queueKind(), env.KindWeight)
-	f.Wait += b.sendWait(env.Kind)
-	if b.receiver != nil && long {
-		f.Wait += b.receiver.wait()
+// setReportHeaders adds the load report and the run times of the request's kind, which
+// the caller's node reads from every response. longBody says that the request's body
+// has to be received before admission.
+func (b *Backend) setReportHeaders(h http.Header, env Envelope, longBody bool) {
+	forecast := b.gate.Forecast(env.queueKind(), env.KindWeight)
+	forecast.Wait += b.expectedSendWait(env.Kind)
+	if b.receiveLimiter != nil && longBody {
+		forecast.Wait += b.receiveLimiter.expectedWait()
 	}
-	text := strconv.AppendInt(make([]byte, 0, 48), int64(f.InUse), 10)
-	for _, n := range [...]int64{int64(f.Slots), int64(f.Waiting), f.Service.Microseconds(), f.Wait.Microseconds()} {
-		text = strconv.AppendInt(append(text, '/'), n, 10)
+	report := strconv.AppendInt(make([]byte, 0, 48), int64(forecast.InUse), 10)
+	for _, n := range [...]int64{int64(forecast.Slots), int64(forecast.Waiting), forecast.Service.Microseconds(), forecast.Wait.Microseconds()} {
+		report = strconv.AppendInt(append(report, '/'), n, 10)
 	}
-	if b.gate.Closed() != admission.ReasonNone || b.leaving.Load() {
-		text = append(text, "/"+toldDraining...)
+	if b.gate.Closed() != admission.ReasonNone || b.reportsDraining.Load() {
+		report = append(report, "/"+loadDraining...)
 	}
-	if f.Cold > 0 {
-		text = strconv.AppendInt(append(text, "/"+toldCold...), f.Cold.Milliseconds()+1, 10)
+	if forecast.Cold > 0 {
+		report = strconv.AppendInt(append(report, "/"+loadColdPrefix...), forecast.Cold.Milliseconds()+1, 10)
 	}
-	h.Set(headerLoad, string(text))
-	typical, safe := b.runTime(env.Kind, overload.TypicalRunQuantile), b.runTime(env.Kind, overload.SafeRunQuantile)
-	h.Set(headerRuns, strconv.FormatInt(typical.Microseconds(), 10)+"/"+strconv.FormatInt(safe.Microseconds(), 10))
+	h.Set(headerLoad, string(report))
+	typical, safe := b.runTimeQuantile(env.Kind, overload.TypicalRunQuantile), b.runTimeQuantile(env.Kind, overload.SafeRunQuantile)
+	h.Set(headerRunTimes, strconv.FormatInt(typical.Microseconds(), 10)+"/"+strconv.FormatInt(safe.Microseconds(), 10))
 	setIf(h, HeaderServedBy, b.cfg.Name)
 }
 
-// runTime returns the time within which the share of the requests of the kind
-// run; 0 if that is not known.
-func (b *Backend) runTime(kind string, share float64) time.Duration {
+// runTimeQuantile returns the time within which the given share of the requests of a
+// kind run; 0 if unknown.
+func (b *Backend) runTimeQuantile(kind string, share float64) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.runs.Quantile(kind, share)
+	return b.runTimes.Quantile(kind, share)
 }
 
-// patience is how long a request may wait for a slot; false if any time.
-func (b *Backend) patience(env Envelope) (time.Duration, bool) {
+// maxWait returns how long a request may wait for a slot; false if its wait is not
+// bounded.
+func (b *Backend) maxWait(env Envelope) (time.Duration, bool) {
 	if env.Objective == nil {
 		return 0, false
 	}
-	safe := b.runTime(env.Kind, overload.SafeRunQuantile)
+	safe := b.runTimeQuantile(env.Kind, overload.SafeRunQuantile)
 	return overload.MaxWait(env.Objective.Left, safe, b.gate.SlotInterval(), env.Objective.Late), true
 }
--- a/internal/proxy/backend_call.go
+++ b/internal/proxy/backend_call.go
@@ -12,32 +12,32 @@
 	"github.com/walldrift/walldrift/internal/retry"
 )
 
-// backendCall is one request on its way through the backend.
+// backendCall is the state of one request in the backend.
 type backendCall struct {
-	b       *Backend
-	env     Envelope
-	req     *http.Request
-	start   time.Time
-	key     ledger.Key
-	keyed   bool
-	started time.Time // when the slot was taken
-	sent    time.Time // when it was passed to the upstream
-	left    bool      // the slot was given back
-	remote  bool      // from another node
-	// received is when the body was here, if it was received first.
-	received time.Time
+	b         *Backend
+	env       Envelope
+	req       *http.Request
+	start     time.Time
+	key       ledger.Key
+	keyed     bool
+	startedAt time.Time // when the slot was acquired
+	sentAt    time.Time // when the request was sent to the upstream
+	released  bool      // the slot was released
+	remote    bool      // sent by another node
+	// receivedAt is when the body was complete, if it was received before admission.
+	receivedAt time.Time
 }
 
 func (c *backendCall) run() (*http.Response, *Problem) {
 	ctx, cancel := clock.WithDeadline(c.req.Context(), c.start.Add(c.env.Timeout))
-	resp, problem := c.admitted(ctx, cancel)
+	resp, problem := c.process(ctx, cancel)
 	if problem != nil {
 		cancel()
 	}
 	return resp, problem
 }
 
-func (c *backendCall) admitted(ctx context.Context, cancel context.CancelFunc) (*http.Response, *Problem) {
+func (c *backendCall) process(ctx context.Context, cancel context.CancelFunc) (*http.Response, *Problem) {
 	if c.keyed = c.env.Key != "" && !c.env.Idempotent; c.keyed {
 		resp, problem := c.beginKey(ctx)
 		if resp != nil || problem != nil {
@@ -50,16 +50,16 @@
 	}
 	problem := c.receive(ctx)
 	if problem == nil {
-		problem = c.enter(ctx)
+		problem = c.acquireSlot(ctx)
 	}
 	if problem != nil {
 		c.finishKey(ledger.NotRun, nil)
 		return nil, problem
 	}
-	c.announce()
+	c.signalAdmitted()
 	resp, problem := c.dispatch(ctx, cancel)
 	if problem != nil {
-		c.leave(false)
+		c.releaseSlot(false)
 		outcome := ledger.OutcomeUnknown
 		if problem.class.NotRun() {
 			outcome = ledger.NotRun
@@ -69,20 +69,20 @@
 	return resp, problem
 }
 
-// enter passes limits and the gate.
-func (c *backendCall) enter(ctx context.Context) *Problem {
+// acquireSlot checks quarantine and limits and waits for a slot.
+func (c *backendCall) acquireSlot(ctx context.Context) *Problem {
 	b := c.b
-	if problem := c.heldBack(); problem != nil {
+	if problem := c.refuseQuarantined(); problem != nil {
 		return problem
 	}
 	b.mu.Lock()
 	reason, after := b.limits.Start(clock.Now())
 	b.mu.Unlock()
 	if reason != admission.ReasonNone {
-		return refusedBy(admission.Verdict{Reason: reason, RetryAfter: max(after, defaultRetryAfter/10)})
+		return admissionProblem(admission.Verdict{Reason: reason, RetryAfter: max(after, defaultRetryAfter/10)})
 	}
-	if problem := c.answeredTooLate(); problem != nil {
-		b.limitDone()
+	if problem := c.refuseLate(); problem != nil {
+		b.releaseLimit()
 		return problem
 	}
 	ticket := &admission.Ticket{
@@ -90,82 +90,83 @@
 		Tenant:   c.env.Tenant,
 		Weight:   c.env.KindWeight,
 		Deadline: c.start.Add(c.env.Timeout),
-		NoWait:   c.env.NoWait && c.received.IsZero(),
+		NoWait:   c.env.NoWait && c.receivedAt.IsZero(),
 	}
-	if patience, bounded := b.patience(c.env); bounded {
-		// A body that is here is not sent again elsewhere for a short wait.
-		ticket.Latest = latest(c.start, c.received).Add(patience)
+	if maxWait, bounded := b.maxWait(c.env); bounded {
+		// A body that has been received is not sent again to another upstream to save a
+		// short wait.
+		ticket.Latest = laterOf(c.start, c.receivedAt).Add(maxWait)
 	}
 	v := b.gate.Acquire(ctx, ticket)
 	b.metrics.queued(c.env.Kind, clock.Since(c.start))
 	if !v.Started {
-		b.limitDone()
-		return refusedBy(v)
-	}
-	c.started = clock.Now()
-	// The process may have been paused between the grant and now, and the sender may
-	// have gone meanwhile.
-	if !c.started.Before(c.start.Add(c.env.Timeout)) || http1.CallerDisconnected(ctx) {
-		c.leave(false)
+		b.releaseLimit()
+		return admissionProblem(v)
+	}
+	c.startedAt = clock.Now()
+	// The process may have been paused between the grant of the slot and now, and the
+	// sender may have disconnected meanwhile.
+	if !c.startedAt.Before(c.start.Add(c.env.Timeout)) || http1.CallerDisconnected(ctx) {
+		c.releaseSlot(false)
 		return notRun(http.StatusServiceUnavailable, retry.Refused, reasonDeadline, defaultRetryAfter)
 	}
-	if problem := c.heldAtStart(); problem != nil {
-		c.leave(false)
+	if problem := c.refuseQuarantinedAtStart(); problem != nil {
+		c.releaseSlot(false)
 		return problem
 	}
 	return nil
 }
 
-// answeredTooLate refuses a request that is known not to be answered in time, before it
+// refuseLate refuses a request whose response is known to come too late, before it
 // takes a slot.
-func (c *backendCall) answeredTooLate() *Problem {
-	if problem := c.outlivesNode(); problem != nil {
+func (c *backendCall) refuseLate() *Problem {
+	if problem := c.refuseAfterShutdown(); problem != nil {
 		return problem
 	}
-	return c.linkFull()
+	return c.refuseFullLink()
 }
 
-// latest returns the later of two times.
-func latest(a, b time.Time) time.Time {
+// laterOf returns the later of two times.
+func laterOf(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
 	}
 	return b
 }
 
-func (b *Backend) limitDone() {
+func (b *Backend) releaseLimit() {
 	b.mu.Lock()
 	b.limits.Done()
 	b.mu.Unlock()
 }
 
-// leave gives the slot back, once. whole says that the request ran to its end, so
-// that its time counts among those of its kind.
-func (c *backendCall) leave(whole bool) {
-	if c.left {
+// releaseSlot releases the slot once; further calls do nothing. complete says that the
+// request ran to its end, so that its run time counts for its kind.
+func (c *backendCall) releaseSlot(complete bool) {
+	if c.released {
 		return
 	}
-	c.left = true
-	c.b.falls.ended(c)
-	if whole {
+	c.released = true
+	c.b.detector.requestEnded(c)
+	if complete {
 		c.b.cfg.Quarantine.Answered(c.env.Fingerprint, c.env.Service)
 	}
-	held := clock.Since(c.started)
+	held := clock.Since(c.startedAt)
 	c.b.mu.Lock()
 	c.b.limits.Done()
-	if whole {
-		c.b.runs.Observe(c.env.Kind, held)
+	if complete {
+		c.b.runTimes.Observe(c.env.Kind, held)
 	}
 	c.b.mu.Unlock()
 	c.b.gate.Release(held)
 }
 
-// announce tells a sender that holds back its body to send it.
-func (c *backendCall) announce() {
-	if f, ok := c.req.Context().Value(admittedHook{}).(func()); ok && c.env.AwaitsAdmission {
+// signalAdmitted tells a sender that withholds its body to send it.
+func (c *backendCall) signalAdmitted() {
+	if f, ok := c.req.Context().Value(admissionHookKey{}).(func()); ok && c.env.AwaitsAdmission {
 		f()
 	}
 }
 
-// admittedHook is the context key of the function called on admission.
-type admittedHook struct{}
+// admissionHookKey is the context key of the function that is called on admission.
+type admissionHookKey struct{}
--- a/internal/proxy/body.go
+++ b/internal/proxy/body.go
@@ -17,27 +17,27 @@
 // defaultBufferLimit is the default of FrontendConfig.BufferLimit.
 const defaultBufferLimit = 32 << 10
 
-// requestBody is a caller's body that can be sent again as long as nothing of
-// it is gone.
+// requestBody is a caller's body. It can be sent again as long as no byte of a streamed
+// body has been read.
 type requestBody struct {
-	buffered []byte // whole body, if it is short
+	buffered []byte // the complete body, if it is short
 	stream   io.Reader
-	length   int64       // negative if it is not known
-	touched  atomic.Bool // bytes of the stream were read
+	length   int64       // negative if unknown
+	consumed atomic.Bool // bytes of the stream have been read
 }
 
-// errBodyTooLong reports a body over the limit of the table.
+// errBodyTooLong reports a body that exceeds the table's limit.
 var errBodyTooLong = errors.New("request body is too long")
 
-// newRequestBody buffers a body of up to limit bytes and wraps a longer one. A
-// body longer than most, if that is not 0, gives errBodyTooLong.
-func newRequestBody(r *http.Request, limit, most int64) (*requestBody, error) {
+// newRequestBody buffers a body of up to limit bytes and streams a longer one. A body
+// longer than maxLength, unless that is 0, returns errBodyTooLong.
+func newRequestBody(r *http.Request, limit, maxLength int64) (*requestBody, error) {
 	b := &requestBody{length: r.ContentLength}
 	if r.Body == nil || r.Body == http.NoBody || r.ContentLength == 0 {
 		b.length = 0
 		return b, nil
 	}
-	if most > 0 && r.ContentLength > most {
+	if maxLength > 0 && r.ContentLength > maxLength {
 		return nil, errBodyTooLong
 	}
 	if r.ContentLength > limit {
@@ -58,7 +58,7 @@
 	return b, nil
 }
 
-// bodyProblem turns an error of newRequestBody into an answer.
+// bodyProblem converts an error of newRequestBody into a problem.
 func bodyProblem(err error) *Problem {
 	var ne net.Error
 	switch {
@@ -70,79 +70,79 @@
 	return notRun(http.StatusBadRequest, retry.Refused, reasonBadRequest, 0)
 }
 
-// bufferLimit is the longest body that is kept now.
+// bufferLimit returns the longest body that is buffered now, in bytes.
 func (f *Frontend) bufferLimit() int64 {
-	if f.cfg.BufferTotal > 0 && f.buffered.Load() >= f.cfg.BufferTotal {
+	if f.cfg.BufferTotal > 0 && f.bufferedBodies.Load() >= f.cfg.BufferTotal {
 		return min(f.cfg.BufferLimit, defaultBufferLimit)
 	}
 	return f.cfg.BufferLimit
 }
 
-// kept is the number of bytes held for a further try.
-func (b *requestBody) kept() int64 { return int64(len(b.buffered)) }
+// bufferedBytes returns the number of bytes buffered for further tries.
+func (b *requestBody) bufferedBytes() int64 { return int64(len(b.buffered)) }
 
 // replayable reports whether the body can be sent again.
-func (b *requestBody) replayable() bool { return b.stream == nil || !b.touched.Load() }
+func (b *requestBody) replayable() bool { return b.stream == nil || !b.consumed.Load() }
 
-// streams reports whether the body is held back until admission.
-func (b *requestBody) streams() bool { return b.stream != nil }
+// streamed reports whether the body is withheld until admission.
+func (b *requestBody) streamed() bool { return b.stream != nil }
 
-// open returns the body for one try. A streaming body gives nothing before
-// admitted is closed.
+// open returns the body for one try. A streamed body returns no bytes before admitted
+// is closed.
 func (b *requestBody) open(ctx context.Context, admitted <-chan struct{}) io.ReadCloser {
 	switch {
 	case b.stream != nil:
-		return &heldBody{ctx: ctx, admitted: admitted, body: b}
+		return &awaitingBody{ctx: ctx, admitted: admitted, body: b}
 	case len(b.buffered) > 0:
 		return io.NopCloser(bytes.NewReader(b.buffered))
 	}
 	return nil
 }
 
-// heldBody waits for admission before it touches the caller's stream.
-type heldBody struct {
+// awaitingBody waits for admission before it reads the caller's stream.
+type awaitingBody struct {
 	ctx      context.Context
 	admitted <-chan struct{}
 	body     *requestBody
 }
 
-func (h *heldBody) Read(p []byte) (int, error) {
+func (a *awaitingBody) Read(p []byte) (int, error) {
 	select {
-	case <-h.admitted:
+	case <-a.admitted:
 	default:
 		select {
-		case <-h.admitted:
-		case <-h.ctx.Done():
-			return 0, h.ctx.Err()
+		case <-a.admitted:
+		case <-a.ctx.Done():
+			return 0, a.ctx.Err()
 		}
 	}
-	h.body.touched.Store(true)
-	return h.body.stream.Read(p)
+	a.body.consumed.Store(true)
+	return a.body.stream.Read(p)
 }
 
-// Close leaves the caller's stream open for a further try; the HTTP server
-// closes it in the end.
-func (h *heldBody) Close() error { return nil }
+// Close leaves the caller's stream open for a further try; the HTTP server closes it at
+// the end of the request.
+func (a *awaitingBody) Close() error { return nil }
 
-// endingBody calls end once, with whether the body was read to its end.
-type endingBody struct {
+// trackedBody calls onEnd once, with whether the body was read to its end.
+type trackedBody struct {
 	io.ReadCloser
-	want int64 // expected length; negative if not known
-	got  int64
-	once sync.Once
-	end  func(whole bool)
-	done bool          // end was called
-	tee  *bytes.Buffer // copy of the first bytes; nil for none
-	keep int           // most bytes copied
-	over bool          // more than keep came
+	expected       int64 // expected length; negative if unknown
+	received       int64
+	once           sync.Once
+	onEnd          func(complete bool)
+	ended          bool          // onEnd was called
+	copied         *bytes.Buffer // copy of the body's first bytes; nil for no copy
+	copyLimit      int           // maximum number of bytes copied
+	copyOverflowed bool          // the body is longer than copyLimit
 }
 
-func (b *endingBody) Read(p []byte) (int, error) {
+func (b *trackedBody) Read(p []byte) (int, error) {
 	n, err := b.ReadCloser.Read(p)
-	b.got += int64(n)
-	b.copyTo(p[:n])
+	b.received += int64(n)
+	b.copyPart(p[:n])
 	switch {
-	case err == io.EOF && b.want >= 0 && b.got < b.want:
+	case err == io.EOF && b.expected >= 0 && b.received < b.expected:
 		err = io.ErrUnexpectedEOF
 		b.finish(false)
 	case err == io.EOF:
@@ -153,34 +153,34 @@
 	return n, err
 }
 
-func (b *endingBody) copyTo(p []byte) {
-	if b.tee == nil || b.over {
+func (b *trackedBody) copyPart(p []byte) {
+	if b.copied == nil || b.copyOverflowed {
 		return
 	}
-	if b.tee.Len()+len(p) > b.keep {
-		b.over = true
+	if b.copied.Len()+len(p) > b.copyLimit {
+		b.copyOverflowed = true
 		return
 	}
-	b.tee.Write(p)
+	b.copied.Write(p)
 }
 
-func (b *endingBody) finish(whole bool) {
+func (b *trackedBody) finish(complete bool) {
 	b.once.Do(func() {
-		b.done = true
-		b.end(whole)
+		b.ended = true
+		b.onEnd(complete)
 	})
 }
 
-// Close ends the body; an answer that was not read to its end was cut.
-func (b *endingBody) Close() error {
-	b.finish(b.want >= 0 && b.got == b.want)
+// Close ends the body; a response that was not read to its end counts as truncated.
+func (b *trackedBody) Close() error {
+	b.finish(b.expected >= 0 && b.received == b.expected)
 	return b.ReadCloser.Close()
 }
 
-// whole reads an answer of up to limit bytes to its end, and reports whether it
-// is all there. It returns nil if the answer is cut, and a body that goes on for a
-// longer one.
-func whole(resp *http.Response, limit int64) (body io.ReadCloser, complete bool) {
+// bufferResponse reads a response of up to limit bytes to its end and reports whether
+// it is complete. It returns a nil body if the response is truncated. The body of a
+// longer response is returned as a stream that starts with the bytes already read.
+func bufferResponse(resp *http.Response, limit int64) (body io.ReadCloser, complete bool) {
 	if limit == 0 || resp.ContentLength > limit || resp.Request != nil && resp.Request.Method == http.MethodHead {
 		return resp.Body, false
 	}
@@ -194,15 +194,15 @@
 		_ = resp.Body.Close()
 		return nil, false
 	case int64(head.Len()) > limit:
-		return &resumedBody{Reader: io.MultiReader(&head, resp.Body), Closer: resp.Body}, false
+		return &prefixedBody{Reader: io.MultiReader(&head, resp.Body), Closer: resp.Body}, false
 	}
 	_ = resp.Body.Close()
 	resp.ContentLength = int64(head.Len())
 	return io.NopCloser(&head), true
 }
 
-// resumedBody is an answer whose first bytes were read already.
-type resumedBody struct {
+// prefixedBody is a response body whose first bytes have already been read.
+type prefixedBody struct {
 	io.Reader
 	io.Closer
 }
--- a/internal/proxy/claim.go
+++ b/internal/proxy/claim.go
@@ -15,27 +15,27 @@
 	"github.com/walldrift/walldrift/internal/version"
 )
 
-// headerClaim marks a request between nodes as a claim on a key.
+// headerClaim marks a request between nodes as a claim on an idempotency key.
 const headerClaim = "Walldrift-Claim"
 
-// maxClaim bounds the encoded claim and its answer.
+// maxClaim bounds an encoded claim and its response, in bytes.
 const maxClaim = 64 << 10
 
 type claimRequest struct {
 	Service string     `cbor:"1,keyasint"`
 	Tenant  string     `cbor:"2,keyasint"`
 	Key     string     `cbor:"3,keyasint"`
-	Home    string     `cbor:"4,keyasint"`
+	Owner   string     `cbor:"4,keyasint"`
 	Version version.ID `cbor:"5,keyasint"`
 }
 
 type claimReply struct {
-	Decision ledger.Decision     `cbor:"1,keyasint"`
-	Ask      string              `cbor:"2,keyasint,omitempty"`
-	Status   int                 `cbor:"3,keyasint,omitempty"`
-	Header   map[string][]string `cbor:"4,keyasint,omitempty"`
-	Body     []byte              `cbor:"5,keyasint,omitempty"`
-	Kept     bool                `cbor:"6,keyasint,omitempty"`
+	Decision  ledger.Decision     `cbor:"1,keyasint"`
+	ClaimFrom string              `cbor:"2,keyasint,omitempty"`
+	Status    int                 `cbor:"3,keyasint,omitempty"`
+	Header    map[string][]string `cbor:"4,keyasint,omitempty"`
+	Body      []byte              `cbor:"5,keyasint,omitempty"`
+	Kept      bool                `cbor:"6,keyasint,omitempty"`
 }
 
 // claimHandler answers claims of other nodes.
@@ -47,13 +47,13 @@
 		http.Error(w, "claim", http.StatusBadRequest)
 		return
 	}
-	var q claimRequest
-	if err := cbor.Unmarshal(raw, &q); err != nil {
+	var request claimRequest
+	if err := cbor.Unmarshal(raw, &request); err != nil {
 		http.Error(w, "claim", http.StatusBadRequest)
 		return
 	}
-	v := c.b.Claim(ledger.Key{Service: q.Service, Tenant: q.Tenant, Value: q.Key}, ledger.Fence{Home: q.Home, Version: q.Version})
-	out := claimReply{Decision: v.Decision, Ask: v.AlsoClaimFrom}
+	v := c.b.Claim(ledger.Key{Service: request.Service, Tenant: request.Tenant, Value: request.Key}, ledger.Fence{Home: request.Owner, Version: request.Version})
+	out := claimReply{Decision: v.Decision, ClaimFrom: v.AlsoClaimFrom}
 	if v.Answer != nil {
 		out.Status, out.Header, out.Body, out.Kept = v.Answer.Status, v.Answer.Header, v.Answer.Body, v.Answer.Kept
 	}
@@ -65,30 +65,30 @@
 	_, _ = w.Write(b)
 }
 
-// PeerClaimer asks earlier homes over the request connections.
+// PeerClaimer sends claims to earlier owners over the request connections.
 type PeerClaimer struct {
 	Dispatch Dispatcher
 	Members  routing.Members
 }
 
-// Claim asks the node beside home. An error means that the answer is not
-// known.
-func (p *PeerClaimer) Claim(ctx context.Context, home string, k ledger.Key, f ledger.Fence) (ledger.Verdict, error) {
-	m, ok := p.Members(home)
+// Claim sends a claim to the node beside owner. An error means that the verdict is
+// unknown.
+func (p *PeerClaimer) Claim(ctx context.Context, owner string, k ledger.Key, f ledger.Fence) (ledger.Verdict, error) {
+	m, ok := p.Members(owner)
 	if !ok || m.Status == membership.Gone {
-		return ledger.Verdict{}, errors.Newf("earlier home %s is gone", home)
+		return ledger.Verdict{}, errors.Newf("earlier owner %s is gone", owner)
 	}
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
-	way, err := p.Dispatch.TransportTo(ctx, m.Instance)
+	transport, err := p.Dispatch.TransportTo(ctx, m.Instance)
 	if err != nil {
 		return ledger.Verdict{}, err
 	}
-	raw, err := cbor.Marshal(claimRequest{Service: k.Service, Tenant: k.Tenant, Key: k.Value, Home: f.Home, Version: f.Version})
+	raw, err := cbor.Marshal(claimRequest{Service: k.Service, Tenant: k.Tenant, Key: k.Value, Owner: f.Home, Version: f.Version})
 	if err != nil {
 		return ledger.Verdict{}, err
 	}
-	resp, err := way.RoundTrip(newClaim(ctx, home, raw))
+	resp, err := transport.RoundTrip(newClaim(ctx, owner, raw))
 	if err != nil {
 		return ledger.Verdict{}, err
 	}
@@ -96,8 +96,8 @@
 	return readClaim(resp)
 }
 
-func newClaim(ctx context.Context, home string, raw []byte) *http.Request {
-	req, _ := http.NewRequestWithContext(ctx, http.MethodPost, "https://"+home+"/", bytes.NewReader(raw))
+func newClaim(ctx context.Context, owner string, raw []byte) *http.Request {
+	req, _ := http.NewRequestWithContext(ctx, http.MethodPost, "https://"+owner+"/", bytes.NewReader(raw))
 	req.ContentLength = int64(len(raw))
 	req.Header.Set(headerClaim, "true")
 	return req
@@ -105,7 +105,7 @@
 
 func readClaim(resp *http.Response) (ledger.Verdict, error) {
 	if resp.StatusCode != http.StatusOK {
-		return ledger.Verdict{}, errors.Newf("claim answered %s", resp.Status)
+		return ledger.Verdict{}, errors.Newf("claim: unexpected status %s", resp.Status)
 	}
 	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxClaim))
 	if err != nil {
@@ -115,7 +115,7 @@
 	if err := cbor.Unmarshal(raw, &r); err != nil {
 		return ledger.Verdict{}, err
 	}
-	v := ledger.Verdict{Decision: r.Decision, AlsoClaimFrom: r.Ask}
+	v := ledger.Verdict{Decision: r.Decision, AlsoClaimFrom: r.ClaimFrom}
 	if r.Status != 0 {
 		v.Answer = &ledger.Answer{Status: r.Status, Header: r.Header, Body: r.Body, Kept: r.Kept}
 	}
--- a/internal/proxy/customer.go
+++ b/internal/proxy/customer.go
@@ -11,24 +11,24 @@
 	"github.com/walldrift/walldrift/internal/table"
 )
 
-// Quota bounds the requests of customers over all nodes.
+// Quota enforces customers' rate limits over all nodes.
 type Quota interface {
-	// Take takes a request into the limit of its customer; false with the time until
-	// there may be room if it does not fit.
+	// Take counts a request against its customer's limit. If the limit is exceeded it
+	// returns false and the time until there may be room.
 	Take(ctx context.Context, c *table.Customer) (ok bool, after time.Duration)
-	// Return gives back what a request took that did not run.
+	// Return refunds a request that did not run.
 	Return(c *table.Customer)
 }
 
-// noQuota bounds nothing.
+// noQuota enforces no limit.
 type noQuota struct{}
 
 func (noQuota) Take(context.Context, *table.Customer) (bool, time.Duration) { return true, 0 }
 func (noQuota) Return(*table.Customer)                                      {}
 
-// customerOf returns the customer of a request by its key; nil if its route needs none. One
-// table decides on route and key. A route that is not public takes no request without a key
-// that works.
+// customerOf returns the customer identified by the request's key; nil if the route
+// needs none. Route and keys are taken from the same table version. A route that is not
+// public refuses a request without a valid key.
 func (d Dialect) customerOf(snap *snapshot.Snapshot, route *snapshot.Route, h http.Header) (*table.Customer, *Problem) {
 	customers := snap.Customers()
 	if d.CustomerKey == "" || route.Public || !customers.Exist() {
@@ -41,8 +41,8 @@
 	return c, nil
 }
 
-// tenant is the name of the customer of a request: that of its key, or the one that the
-// caller names where customers have no keys.
+// tenant returns the name of the request's customer: that of its key, or the one named
+// by the caller in a deployment without customer keys.
 func (d Dialect) tenant(c *table.Customer, h http.Header) string {
 	switch {
 	case c != nil:
@@ -53,8 +53,9 @@
 	return h.Get(HeaderTenant)
 }
 
-// nameCustomer tells the customer, whatever the caller sent in its place.
-func (d Dialect) nameCustomer(h http.Header, customer string) {
+// setCustomer sets the customer's name for the upstream and overrides what the caller
+// sent.
+func (d Dialect) setCustomer(h http.Header, customer string) {
 	name := d.Customer
 	if name == "" {
 		name = HeaderTenant
@@ -66,33 +67,33 @@
 	setIf(h, name, customer)
 }
 
-// rank is how requests of a customer are ranked on a route: the class in which they queue
-// and are measured, and their priority.
-func rank(route *snapshot.Route, c *table.Customer) (kind string, priority int) {
+// kindAndPriority returns the kind under which a customer's requests on a route are
+// queued and measured, and their priority.
+func kindAndPriority(route *snapshot.Route, c *table.Customer) (kind string, priority int) {
 	if c == nil || c.Priority == nil || *c.Priority == route.Priority {
 		return route.Kind, route.Priority
 	}
 	return route.Kind + "/priority-" + strconv.Itoa(*c.Priority), *c.Priority
 }
 
-// takeQuota counts the request against the limit of its customer, and says why it does not
-// fit; nil if it does. A request that is known to be over the limit takes neither a slot
-// nor the memory of its body.
-func (x *exchange) takeQuota(ctx context.Context) *Problem {
-	if x.customer == nil || x.customer.Rate <= 0 {
+// takeQuota counts the request against its customer's limit; it returns a problem if
+// the limit is exceeded. It is called first, so that a request over the limit takes
+// neither a slot nor memory for its body.
+func (ex *exchange) takeQuota(ctx context.Context) *Problem {
+	if ex.customer == nil || ex.customer.Rate <= 0 {
 		return nil
 	}
-	ok, after := x.f.cfg.Quota.Take(ctx, x.customer)
+	ok, after := ex.f.cfg.Quota.Take(ctx, ex.customer)
 	if !ok {
 		return notRun(http.StatusTooManyRequests, retry.Refused, reasonQuota, after)
 	}
-	x.counted = true
+	ex.quotaTaken = true
 	return nil
 }
 
-// returnQuota gives back what the request took from the limit, if it did not run.
-func (x *exchange) returnQuota(outcome string) {
-	if x.counted && Outcome(outcome) == OutcomeNotRun {
-		x.f.cfg.Quota.Return(x.customer)
+// returnQuota refunds the quota of a request that did not run.
+func (ex *exchange) returnQuota(outcome string) {
+	if ex.quotaTaken && Outcome(outcome) == OutcomeNotRun {
+		ex.f.cfg.Quota.Return(ex.customer)
 	}
 }
--- a/internal/proxy/customer_test.go
+++ b/internal/proxy/customer_test.go
@@ -21,27 +21,27 @@
 	"github.com/walldrift/walldrift/internal/version"
 )
 
-var keyed = Dialect{CustomerKey: "X-Key", Customer: "X-Customer"}
+var customerDialect = Dialect{CustomerKey: "X-Key", Customer: "X-Customer"}
 
-// handOvers keeps the headers of all requests that are handed over, and answers them.
-type handOvers struct {
+// forwardedRequests answers forwarded requests and keeps their headers.
+type forwardedRequests struct {
 	scripted
 	headers []http.Header
 }
 
-func (h *handOvers) RoundTrip(r *http.Request) (*http.Response, error) {
+func (h *forwardedRequests) RoundTrip(r *http.Request) (*http.Response, error) {
 	h.headers = append(h.headers, r.Header.Clone())
 	return h.scripted.RoundTrip(r)
 }
 
-// wayTo is the way to every instance.
-type wayTo struct{ http.RoundTripper }
+// transportToAll is a Dispatcher with the same transport to every instance.
+type transportToAll struct{ http.RoundTripper }
 
-func (w wayTo) TransportTo(context.Context, membership.Instance) (http.RoundTripper, error) {
+func (w transportToAll) TransportTo(context.Context, membership.Instance) (http.RoundTripper, error) {
 	return w.RoundTripper, nil
 }
 
-// customerTable has a public route, and one that asks for the key of a customer.
+// customerTable has a public route and one that needs a customer's key.
 func customerTable(t *testing.T) *snapshot.Snapshot {
 	t.Helper()
 	first := 0
@@ -62,12 +62,12 @@
 	return snap
 }
 
-func serveKeyed(t *testing.T, way *handOvers, q Quota, path string, h http.Header) *httptest.ResponseRecorder {
+func serveCustomer(t *testing.T, transport *forwardedRequests, q Quota, path string, h http.Header) *httptest.ResponseRecorder {
 	t.Helper()
 	holder := &snapshot.Holder{}
 	holder.Advance(customerTable(t))
-	cfg := FrontendConfig{Retry: retry.DefaultPolicy(), Routing: routing.DefaultConfig(), Seed: 1, Dialect: keyed, Quota: q}
-	f := NewFrontend(cfg, holder, everyMember, wayTo{way}, NewMetrics(tally.NoopScope), func() bool { return true })
+	cfg := FrontendConfig{Retry: retry.DefaultPolicy(), Routing: routing.DefaultConfig(), Seed: 1, Dialect: customerDialect, Quota: q}
+	f := NewFrontend(cfg, holder, everyMember, transportToAll{transport}, NewMetrics(tally.NoopScope), func() bool { return true })
 	r := httptest.NewRequest(http.MethodGet, path, nil)
 	r.Header = h
 	w := httptest.NewRecorder()
@@ -75,9 +75,9 @@
 	return w
 }
 
-// A key decides who the customer is, and goes no further than the node where it came,
-// whatever else the caller says.
-func TestKeyNamesTheCustomer(t *testing.T) {
+// The key alone decides who the customer is, whatever else the caller sends, and it is
+// not forwarded beyond the node that received it.
+func TestCustomerKeyIdentifiesCustomer(t *testing.T) {
 	tests := []struct {
 		name, path, key string
 		status          int
@@ -93,51 +93,51 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			way := &handOvers{scripted: scripted{script: []func(*http.Request) (*http.Response, error){refuse(admission.ReasonBusy), answer}}}
+			transport := &forwardedRequests{scripted: scripted{script: []func(*http.Request) (*http.Response, error){refuse(admission.ReasonBusy), respondOK}}}
 			h := http.Header{"X-Customer": {"impostor"}, HeaderTenant: {"impostor"}, headerTenantID: {"impostor"}}
 			if tt.key != "" {
 				h.Set("X-Key", tt.key)
 			}
-			w := serveKeyed(t, way, nil, tt.path, h)
+			w := serveCustomer(t, transport, nil, tt.path, h)
 			assert.Equal(t, w.Code, tt.status)
 			assert.Assert(t, !strings.Contains(w.Body.String(), "s3cre"))
 			if tt.status != http.StatusOK {
-				assert.Equal(t, len(way.seen), 0)
+				assert.Equal(t, len(transport.seen), 0)
 				return
 			}
-			for i, env := range way.seen {
+			for i, env := range transport.seen {
 				assert.Equal(t, env.Tenant, tt.customer)
-				assert.Equal(t, way.headers[i].Get("X-Key"), "")
+				assert.Equal(t, transport.headers[i].Get("X-Key"), "")
 			}
 		})
 	}
 }
 
-// What reaches the upstream names the customer of the key, and bears no key.
-func TestUpstreamIsToldTheCustomer(t *testing.T) {
+// The upstream gets the name of the key's customer, but not the key.
+func TestUpstreamGetsCustomerName(t *testing.T) {
 	for _, customer := range []string{"hauliers", ""} {
 		h := http.Header{"X-Key": {"s3cret"}, "X-Customer": {"impostor"}}
-		keyed.nameCustomer(h, customer)
+		customerDialect.setCustomer(h, customer)
 		assert.Equal(t, h.Get("X-Customer"), customer)
 		assert.Equal(t, h.Get("X-Key"), "")
 	}
 }
 
-// The priority of a customer takes the place of the route's, in a class of its own: a
-// class has one weight in the queue.
+// A customer's priority replaces the route's, under a kind of its own, since each kind
+// has one weight in the queue.
 func TestCustomersHaveTheirOwnPriority(t *testing.T) {
-	way := &handOvers{scripted: scripted{script: []func(*http.Request) (*http.Response, error){answer}}}
-	serveKeyed(t, way, nil, "/closed/x", http.Header{"X-Key": {"s3cret"}})
-	serveKeyed(t, way, nil, "/closed/x", http.Header{"X-Key": {"gr0wth"}})
-	assert.Assert(t, way.seen[0].KindWeight > way.seen[1].KindWeight)
-	assert.Assert(t, way.seen[0].Kind != way.seen[1].Kind)
-	assert.Equal(t, way.seen[1].Kind, "k")
+	transport := &forwardedRequests{scripted: scripted{script: []func(*http.Request) (*http.Response, error){respondOK}}}
+	serveCustomer(t, transport, nil, "/closed/x", http.Header{"X-Key": {"s3cret"}})
+	serveCustomer(t, transport, nil, "/closed/x", http.Header{"X-Key": {"gr0wth"}})
+	assert.Assert(t, transport.seen[0].KindWeight > transport.seen[1].KindWeight)
+	assert.Assert(t, transport.seen[0].Kind != transport.seen[1].Kind)
+	assert.Equal(t, transport.seen[1].Kind, "k")
 }
 
-// fewTokens is a quota with so many requests left.
-type fewTokens struct{ left int }
+// countingQuota is a quota with a given number of requests left.
+type countingQuota struct{ left int }
 
-func (q *fewTokens) Take(context.Context, *table.Customer) (bool, time.Duration) {
+func (q *countingQuota) Take(context.Context, *table.Customer) (bool, time.Duration) {
 	if q.left == 0 {
 		return false, 250 * time.Millisecond
 	}
@@ -145,24 +145,24 @@
 	return true, 0
 }
 
-func (q *fewTokens) Return(*table.Customer) { q.left++ }
+func (q *countingQuota) Return(*table.Customer) { q.left++ }
 
-// A request over the limit is refused at once with the time to come back, and one that
-// did not run for another reason gives back what it took.
-func TestQuotaCountsWhatRuns(t *testing.T) {
+// A request over the limit is refused at once with the time after which to retry. A
+// request that does not run for another reason is refunded.
+func TestQuotaCountsOnlyRequestsThatRun(t *testing.T) {
 	busy := refuse(admission.ReasonQueueFull)
-	q := &fewTokens{left: 1}
-	way := &handOvers{scripted: scripted{script: []func(*http.Request) (*http.Response, error){busy}}}
-	w := serveKeyed(t, way, q, "/closed/x", http.Header{"X-Key": {"s3cret"}})
+	q := &countingQuota{left: 1}
+	transport := &forwardedRequests{scripted: scripted{script: []func(*http.Request) (*http.Response, error){busy}}}
+	w := serveCustomer(t, transport, q, "/closed/x", http.Header{"X-Key": {"s3cret"}})
 	assert.Equal(t, w.Code, http.StatusServiceUnavailable)
 	assert.Equal(t, q.left, 1)
 
-	way = &handOvers{scripted: scripted{script: []func(*http.Request) (*http.Response, error){answer}}}
-	assert.Equal(t, serveKeyed(t, way, q, "/closed/x", http.Header{"X-Key": {"s3cret"}}).Code, http.StatusOK)
+	transport = &forwardedRequests{scripted: scripted{script: []func(*http.Request) (*http.Response, error){respondOK}}}
+	assert.Equal(t, serveCustomer(t, transport, q, "/closed/x", http.Header{"X-Key": {"s3cret"}}).Code, http.StatusOK)
 	assert.Equal(t, q.left, 0)
-	w = serveKeyed(t, way, q, "/closed/x", http.Header{"X-Key": {"s3cret"}})
+	w = serveCustomer(t, transport, q, "/closed/x", http.Header{"X-Key": {"s3cret"}})
 	assert.Equal(t, w.Code, http.StatusTooManyRequests)
 	assert.Equal(t, w.Header().Get(HeaderRetryAfterMs), "250")
-	assert.Equal(t, len(way.seen), 1)
-	assert.Equal(t, serveKeyed(t, way, q, "/closed/x", http.Header{"X-Key": {"gr0wth"}}).Code, http.StatusOK) // no limit
+	assert.Equal(t, len(transport.seen), 1)
+	assert.Equal(t, serveCustomer(t, transport, q, "/closed/x", http.Header{"X-Key": {"gr0wth"}}).Code, http.StatusOK) // this customer has no limit
 }
--- a/internal/proxy/cut.go
+++ b/internal/proxy/cut.go
@@ -7,46 +7,46 @@
 	"github.com/cockroachdb/errors"
 )
 
-// CutReason says why an answer broke off after its status had gone out.
+// CutReason says why a response broke off after its status had been sent.
 type CutReason string
 
-// The reasons.
+// Reasons for a truncated response.
 const (
-	CutCallerDisconnected CutReason = "caller-left" // its connection takes no more
-	CutDeadline           CutReason = "deadline"    // the time of the request was over
-	CutNodeShutdown       CutReason = "node-ends"   // this node ends what is in progress
-	CutConnectionLost     CutReason = "hop-lost"    // the way to the upstream, or the upstream, broke off
+	CutCallerDisconnected CutReason = "caller-left" // a write to its connection failed, or it closed it
+	CutDeadline           CutReason = "deadline"    // the request's deadline passed
+	CutNodeShutdown       CutReason = "node-ends"   // this node shut down and cancelled the request
+	CutConnectionLost     CutReason = "hop-lost"    // the connection to the upstream's node or to the upstream broke
 )
 
-// CutRecord tells what was known when an answer broke off.
+// CutRecord describes a truncated response.
 type CutRecord struct {
-	Reason CutReason // empty for answers that are whole
-	Sent   int64     // bytes of the body passed on
-	// TableAge is the time since the table in force was taken, to tell what a change
-	// brings from what happens at any time.
+	Reason CutReason // empty if the response is complete
+	Sent   int64     // bytes of the body that were forwarded
+	// TableAge is the time since the table in force was adopted. It helps to tell
+	// effects of a table change from others.
 	TableAge time.Duration
 }
 
-// errCallerLeft marks errors of writing to the caller.
-var errCallerLeft = errors.New("the caller takes no more")
+// errCallerDisconnected marks errors of writing to the caller.
+var errCallerDisconnected = errors.New("caller disconnected")
 
-// noteCut counts an answer that broke off after so many bytes.
-func (x *exchange) noteCut(now time.Time, sent int64, err error) {
-	x.cut = CutRecord{
-		Reason:   x.cutReason(err),
+// recordCut counts and records a response that broke off after sent bytes of its body.
+func (ex *exchange) recordCut(now time.Time, sent int64, err error) {
+	ex.cut = CutRecord{
+		Reason:   ex.cutReason(err),
 		Sent:     sent,
-		TableAge: x.f.cfg.TableAge(now),
+		TableAge: ex.f.cfg.TableAge(now),
 	}
-	x.f.metrics.cutBy(x.cut.Reason)
+	ex.f.metrics.responseCut(ex.cut.Reason)
 }
 
-// cutReason tells apart by whom an answer was cut. A caller that has left ends the
-// context, too.
-func (x *exchange) cutReason(err error) CutReason {
+// cutReason finds out what truncated a response. A caller that disconnects also ends
+// the request's context.
+func (ex *exchange) cutReason(err error) CutReason {
 	switch {
-	case errors.Is(err, errCallerLeft) || x.req.Context().Err() != nil:
+	case errors.Is(err, errCallerDisconnected) || ex.req.Context().Err() != nil:
 		return CutCallerDisconnected
-	case x.f.ending.Err() != nil:
+	case ex.f.requestsCtx.Err() != nil:
 		return CutNodeShutdown
 	case errors.Is(err, context.DeadlineExceeded):
 		return CutDeadline
--- a/internal/proxy/cut_test.go
+++ b/internal/proxy/cut_test.go
@@ -16,56 +16,57 @@
 	"github.com/walldrift/walldrift/internal/retry"
 )
 
-// brokenBody gives some bytes, and then its error.
-type brokenBody struct {
+// truncatedBody returns some bytes and then an error.
+type truncatedBody struct {
 	first io.Reader
 	then  func() error
 }
 
-func (b *brokenBody) Read(p []byte) (int, error) {
+func (b *truncatedBody) Read(p []byte) (int, error) {
 	if n, err := b.first.Read(p); err == nil {
 		return n, nil
 	}
 	return 0, b.then()
 }
 
-func (b *brokenBody) Close() error { return nil }
+func (b *truncatedBody) Close() error { return nil }
 
-// fullWriter is a caller whose connection takes no bytes of a body.
-type fullWriter struct{ *httptest.ResponseRecorder }
+// failingWriter is a caller whose connection accepts the head of a response but no
+// body.
+type failingWriter struct{ *httptest.ResponseRecorder }
 
-func (fullWriter) Write([]byte) (int, error) { return 0, io.ErrClosedPipe }
+func (failingWriter) Write([]byte) (int, error) { return 0, io.ErrClosedPipe }
 
-// An answer that breaks off is counted by what broke it off, and its record tells
-// how much was passed on and whether this node was to end.
-func TestCutAnswersAreCountedByReason(t *testing.T) {
-	const passedOn = 7
+// A truncated response is counted by its reason, and its record holds how many bytes
+// were forwarded and whether this node was shutting down.
+func TestTruncatedResponsesAreCountedByReason(t *testing.T) {
+	const forwarded = 7
 	for reason, c := range map[CutReason]struct {
-		fault func(f *Frontend, leave context.CancelFunc) error
+		fault func(f *Frontend, disconnect context.CancelFunc) error
 		full  bool
 		sent  int64
 	}{
-		CutConnectionLost: {fault: func(*Frontend, context.CancelFunc) error { return io.ErrUnexpectedEOF }, sent: passedOn},
-		CutDeadline:       {fault: func(*Frontend, context.CancelFunc) error { return errors.Wrap(context.DeadlineExceeded, "read") }, sent: passedOn},
+		CutConnectionLost: {fault: func(*Frontend, context.CancelFunc) error { return io.ErrUnexpectedEOF }, sent: forwarded},
+		CutDeadline:       {fault: func(*Frontend, context.CancelFunc) error { return errors.Wrap(context.DeadlineExceeded, "read") }, sent: forwarded},
 		CutNodeShutdown: {fault: func(f *Frontend, _ context.CancelFunc) error {
-			f.BeginShutdown(announcedUntil(time.Now()))
+			f.BeginShutdown(scheduleUntil(time.Now()))
 			f.CancelAll()
 			return context.Canceled
-		}, sent: passedOn},
-		CutCallerDisconnected: {fault: func(_ *Frontend, leave context.CancelFunc) error { leave(); return context.Canceled }, sent: passedOn},
+		}, sent: forwarded},
+		CutCallerDisconnected: {fault: func(_ *Frontend, disconnect context.CancelFunc) error { disconnect(); return context.Canceled }, sent: forwarded},
 		"caller-left ":        {fault: func(*Frontend, context.CancelFunc) error { return io.EOF }, full: true},
 	} {
 		t.Run(string(reason), func(t *testing.T) {
 			if c.full {
 				reason = CutCallerDisconnected
 			}
-			ctx, leave := context.WithCancel(t.Context())
-			defer leave()
+			ctx, disconnect := context.WithCancel(t.Context())
+			defer disconnect()
 			var f *Frontend
 			s := &scripted{script: []func(*http.Request) (*http.Response, error){func(r *http.Request) (*http.Response, error) {
-				resp, _ := answer(r)
+				resp, _ := respondOK(r)
 				resp.ContentLength = 100
-				resp.Body = &brokenBody{first: bytes.NewReader(make([]byte, passedOn)), then: func() error { return c.fault(f, leave) }}
+				resp.Body = &truncatedBody{first: bytes.NewReader(make([]byte, forwarded)), then: func() error { return c.fault(f, disconnect) }}
 				return resp, nil
 			}}}
 			var got Record
@@ -74,7 +75,7 @@
 			f.metrics = NewMetrics(scope)
 			var w http.ResponseWriter = httptest.NewRecorder()
 			if c.full {
-				w = fullWriter{httptest.NewRecorder()}
+				w = failingWriter{httptest.NewRecorder()}
 			}
 			func() {
 				defer func() { assert.Equal(t, recover(), http.ErrAbortHandler) }()
--- a/internal/proxy/dialect.go
+++ b/internal/proxy/dialect.go
@@ -8,44 +8,46 @@
 	"time"
 )
 
-// Dialect names the headers that the callers and upstreams of a deployment use
-// beside the project's own. An empty name is not used.
+// Dialect names the headers that the callers and upstreams of a deployment use in
+// addition to the project's own. A header with an empty name is not used.
 type Dialect struct {
 	// RequestID identifies one attempt of a caller; an upstream echoes it.
 	RequestID string
-	// Deadline is how long the caller, or the node, waits: milliseconds.
+	// Deadline is how long the caller, or the node, waits for a response, in
+	// milliseconds.
 	Deadline string
-	// Signature proves that an answer is the upstream's own.
+	// Signature proves that the upstream itself made the response.
 	Signature string
-	// ExpectedInstance is the one process that may run the request; another
-	// one at its address answers 421.
+	// ExpectedInstance names the instance that may run the request; another instance at
+	// the same address answers 421.
 	ExpectedInstance string
-	// CallerService tells an upstream the service beside whose node the request
-	// began.
+	// CallerService names, for an upstream, the service beside whose node the request
+	// entered the mesh.
 	CallerService string
-	// CustomerKey in a caller's request identifies its customer, and goes no further
-	// than the node where the request came. Empty where callers name themselves in
+	// CustomerKey identifies the customer in a caller's request. It is not forwarded
+	// beyond the node that received the request. Empty if callers name themselves in
 	// HeaderTenant.
 	CustomerKey string
-	// Customer tells an upstream the name of the customer. Default: HeaderTenant.
+	// Customer names the customer in a request to an upstream. Default: HeaderTenant.
 	Customer string
-	// NotExecuted in an upstream's answer says that it did not run the request.
+	// NotExecuted in an upstream's response says that the request did not run.
 	NotExecuted string
-	// Load in an upstream's answer is "running,waiting,slots".
+	// Load in an upstream's response is "running,waiting,slots".
 	Load string
-	// Instance in an answer of an upstream's health end point is the instance that
-	// answers, and Cold for how long it stays cold, in milliseconds; one that is warm
-	// may leave it out.
+	// Instance names the answering instance in a response of an upstream's health
+	// endpoint. Cold is how long it stays cold, in milliseconds; a warm instance may
+	// omit it.
 	Instance, Cold string
 	// FractionalRetryAfter allows fractions of a second in Retry-After.
 	FractionalRetryAfter bool
 }
 
-// DefaultDialect names the headers of a deployment that uses the project's own.
+// DefaultDialect returns the dialect of a deployment that uses the project's own
+// headers.
 func DefaultDialect() Dialect { return Dialect{Deadline: HeaderTimeout} }
 
-// ColdRemaining is for how long an upstream stays cold by its own word; false if it says
-// nothing that can be read.
+// ColdRemaining returns how long an upstream says that it stays cold; false if its
+// response has no valid answer.
 func (d Dialect) ColdRemaining(h http.Header) (time.Duration, bool) {
 	if d.Cold == "" || h.Get(d.Instance) == "" {
 		return 0, false
@@ -60,8 +62,7 @@
 	return time.Duration(min(ms, float64(maxCallerWait.Milliseconds())) * float64(time.Millisecond)), true
 }
 
-// callerTimeout is the limit, or the time that the caller waits if that is
-// shorter.
+// callerTimeout returns the smaller of limit and the time that the caller waits.
 func (d Dialect) callerTimeout(h http.Header, limit time.Duration) time.Duration {
 	if wait, ok := d.callerWait(h); ok && wait < limit {
 		return wait
@@ -69,10 +70,10 @@
 	return limit
 }
 
-// maxCallerWait bounds the times that callers and upstreams may tell.
+// maxCallerWait caps the durations that callers and upstreams may state.
 const maxCallerWait = time.Hour
 
-// callerWait is the time that the caller says it waits; false if it says none.
+// callerWait returns how long the caller says that it waits; false if it does not say.
 func (d Dialect) callerWait(h http.Header) (time.Duration, bool) {
 	ms, err := strconv.ParseFloat(h.Get(d.Deadline), 64)
 	if err != nil || !(ms > 0) {
@@ -81,7 +82,7 @@
 	return time.Duration(min(ms, float64(maxCallerWait.Milliseconds())) * float64(time.Millisecond)), true
 }
 
-// retryAfter writes the advice when to come back.
+// retryAfter formats the value of a Retry-After header.
 func (d Dialect) retryAfter(after time.Duration) string {
 	if d.FractionalRetryAfter {
 		return strconv.FormatFloat(after.Seconds(), 'f', 3, 64)
@@ -89,9 +90,9 @@
 	return strconv.Itoa(int(math.Ceil(after.Seconds())))
 }
 
-// MatchesRequest reports whether an upstream's answer is to the request. A refusal may
-// come without an id, as what refuses need not have read the request; an answer
-// to another request bears that one's id.
+// MatchesRequest reports whether an upstream's response belongs to the request. A
+// refusal may come without a request id, since it may be sent before the request is
+// read; a response to another request carries that request's id.
 func (d Dialect) MatchesRequest(req *http.Request, resp *http.Response) bool {
 	if d.RequestID == "" {
 		return true
@@ -100,27 +101,26 @@
 	return id == req.Header.Get(d.RequestID) || id == "" && d.notExecuted(resp)
 }
 
-// genuine reports whether an answer is the upstream's own. Only successes need
-// to prove it: a failure without proof is passed on as what it is.
+// genuine reports whether the upstream itself made the response. Only a success has to
+// prove it: a failure without a signature is forwarded as a failure.
 func (d Dialect) genuine(resp *http.Response) bool {
 	success := resp.StatusCode >= http.StatusOK && resp.StatusCode < http.StatusMultipleChoices
 	return d.Signature == "" || !success || resp.Header.Get(d.Signature) != ""
 }
 
-// notExecuted reports whether the upstream says that it did not run the
-// request.
+// notExecuted reports whether the upstream says that it did not run the request.
 func (d Dialect) notExecuted(resp *http.Response) bool {
 	return d.misdirected(resp) || d.NotExecuted != "" && resp.Header.Get(d.NotExecuted) != ""
 }
 
-// misdirected reports whether the answer comes from another instance than the
-// one asked for, which did not run the request.
+// misdirected reports whether the response comes from an instance other than the
+// expected one. That instance did not run the request.
 func (d Dialect) misdirected(resp *http.Response) bool {
 	return d.ExpectedInstance != "" && resp.StatusCode == http.StatusMisdirectedRequest
 }
 
-// impliesNotRun reports whether callers take the status for a promise that the
-// request did not run.
+// impliesNotRun reports whether callers take the status as a guarantee that the request
+// did not run.
 func impliesNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
@@ -129,7 +129,7 @@
 	return false
 }
 
-// rawPath is the path as the caller wrote it, without the query.
+// rawPath returns the path as the caller sent it, without the query.
 func rawPath(r *http.Request) string {
 	if strings.HasPrefix(r.RequestURI, "/") {
 		path, _, _ := strings.Cut(r.RequestURI, "?")
--- a/internal/proxy/dialect_test.go
+++ b/internal/proxy/dialect_test.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestColdLeft(t *testing.T) {
+func TestColdRemaining(t *testing.T) {
 	d := Dialect{Instance: "Who", Cold: "Cold-Left"}
 	for _, tc := range []struct {
 		who, cold string
--- a/internal/proxy/dispatch.go
+++ b/internal/proxy/dispatch.go
@@ -18,151 +18,153 @@
 	"github.com/walldrift/walldrift/internal/retry"
 )
 
-// dispatch calls the upstream. The answer's body gives the slot back when it
-// ends.
+// dispatch sends the request to the upstream. The slot is released at the latest when
+// the response's body ends.
 func (c *backendCall) dispatch(ctx context.Context, cancel context.CancelFunc) (*http.Response, *Problem) {
 	var connected atomic.Bool
 	if c.keyed {
-		// A repeat of the key wants the answer even if this caller goes away.
+		// A repeated request with this key needs the response even if this caller
+		// disconnects.
 		var stop context.CancelFunc
 		ctx, stop = clock.WithDeadline(context.WithoutCancel(ctx), c.start.Add(c.env.Timeout))
 		outer := cancel
 		cancel = func() { stop(); outer() }
 	}
-	outlives := c.b.withLife(cancel)
+	unbind := c.b.bindToLifetime(cancel)
 	outer := cancel
-	cancel = func() { outlives(); outer() }
+	cancel = func() { unbind(); outer() }
 	out := c.upstreamRequest(httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) {
 			connected.Store(true)
 			c.b.cfg.OnConnect(true)
 		},
 	}))
-	c.sent = clock.Now()
-	c.b.falls.sent(c)
+	c.sentAt = clock.Now()
+	c.b.detector.requestSent(c)
 	resp, err := c.b.transport(c.env, out.Method).RoundTrip(out)
 	if err != nil {
-		ended := ctx.Err()
+		ctxErr := ctx.Err()
 		cancel()
-		if !connected.Load() && ended == nil {
+		if !connected.Load() && ctxErr == nil {
 			c.b.cfg.OnConnect(false)
-			c.b.falls.fell()
+			c.b.detector.recordCrash()
 		}
-		problem := c.failure(ended, err, connected.Load())
-		c.noteLost(ended, problem)
+		problem := c.callProblem(ctxErr, err, connected.Load())
+		c.noteLostConnection(ctxErr, problem)
 		return nil, problem
 	}
-	c.b.falls.answered(c)
+	c.b.detector.requestAnswered(c)
 	stripOwn(resp.Header)
 	stripHop(resp.Header)
-	if problem := c.unusable(resp); problem != nil {
-		drop(resp)
+	if problem := c.responseProblem(resp); problem != nil {
+		discardResponse(resp)
 		cancel()
 		return nil, problem
 	}
 	var complete bool
-	if resp.Body, complete = whole(resp, c.b.answerLimit()); resp.Body == nil {
+	if resp.Body, complete = bufferResponse(resp, c.b.responseBufferLimit()); resp.Body == nil {
 		err := ctx.Err()
 		cancel()
 		if err != nil {
-			return nil, c.failure(err, err, true)
+			return nil, c.callProblem(err, err, true)
 		}
-		problem := unknownOutcome(http.StatusBadGateway, reasonLost)
-		c.noteLost(nil, problem)
+		problem := unknownOutcome(http.StatusBadGateway, reasonConnectionLost)
+		c.noteLostConnection(nil, problem)
 		return nil, problem
 	}
 	if complete {
-		// The upstream is done: its slot need not wait for the caller's link.
-		c.leave(true)
+		// The upstream has finished; the slot need not wait for the caller's link.
+		c.releaseSlot(true)
 	}
-	c.b.stamp(resp.Header, c.env, c.req.ContentLength > receiveFrom)
-	resp.Body = c.inTurn(resp)
-	body := &endingBody{ReadCloser: resp.Body, want: resp.ContentLength}
+	c.b.setReportHeaders(resp.Header, c.env, c.req.ContentLength > receiveThreshold)
+	resp.Body = c.limitSend(resp)
+	body := &trackedBody{ReadCloser: resp.Body, expected: resp.ContentLength}
 	if out.Method == http.MethodHead || resp.StatusCode == http.StatusNotModified || resp.StatusCode == http.StatusNoContent {
-		body.want = -1
+		body.expected = -1
 	}
 	if c.keyed {
-		body.tee, body.keep = &bytes.Buffer{}, c.b.cfg.Ledger.MaxAnswer
+		body.copied, body.copyLimit = &bytes.Buffer{}, c.b.cfg.Ledger.MaxAnswer
 	}
-	body.end = func(whole bool) { c.ended(resp, body, whole, cancel) }
+	body.onEnd = func(fullyRead bool) { c.responseEnded(resp, body, fullyRead, cancel) }
 	resp.Body = body
 	if c.keyed {
-		resp.Body = &drainedBody{endingBody: body}
+		resp.Body = &drainedBody{trackedBody: body}
 	}
 	return resp, nil
 }
 
-// unusable returns the problem in place of an answer that must not be passed
-// on: a refusal, a success that is not the upstream's own, and a status that
-// callers would take for a promise that the request did not run.
-func (c *backendCall) unusable(resp *http.Response) *Problem {
+// responseProblem returns a problem that replaces a response that must not be
+// forwarded: one that says the request was not run, a success that the upstream itself
+// did not make, or a status that callers would wrongly take as a guarantee that the
+// request did not run. It returns nil for any other response.
+func (c *backendCall) responseProblem(resp *http.Response) *Problem {
 	d := c.b.cfg.Dialect
 	switch {
 	case d.misdirected(resp):
-		c.b.denied.Store(&c.env.Target)
-		return notRun(http.StatusServiceUnavailable, retry.Rejected, reasonMisdirected, rejectedRetryAfter)
+		c.b.deniedTarget.Store(&c.env.Target)
+		return notRun(http.StatusServiceUnavailable, retry.Rejected, reasonWrongInstance, rejectedRetryAfter)
 	case d.notExecuted(resp):
 		return notRun(http.StatusServiceUnavailable, retry.Rejected, reasonRejected, rejectedRetryAfter)
 	case !d.genuine(resp):
 		return unknownOutcome(http.StatusBadGateway, reasonNotGenuine)
 	case d.NotExecuted != "" && !c.env.Idempotent && impliesNotRun(resp.StatusCode):
-		return unknownOutcome(http.StatusBadGateway, reasonUnproven)
+		return unknownOutcome(http.StatusBadGateway, reasonRefusalNotProven)
 	}
 	return nil
 }
 
-// failure classifies an error of the call to the upstream; ended is that of the
-// request's context.
-func (c *backendCall) failure(ended, err error, connected bool) *Problem {
+// callProblem classifies an error of the call to the upstream. ctxErr is the error of
+// the request's context.
+func (c *backendCall) callProblem(ctxErr, err error, connected bool) *Problem {
 	if !connected || errors.Is(err, http1.ErrNotSent) {
-		return notRun(http.StatusServiceUnavailable, retry.NeverDispatched, notSentReason(ended, reasonUpstream), defaultRetryAfter)
+		return notRun(http.StatusServiceUnavailable, retry.NeverDispatched, notSentReason(ctxErr, reasonConnectionRefused), defaultRetryAfter)
 	}
 	if errors.Is(err, context.DeadlineExceeded) {
 		return unknownOutcome(http.StatusGatewayTimeout, reasonDeadline)
 	}
-	return unknownOutcome(http.StatusBadGateway, reasonLost)
+	return unknownOutcome(http.StatusBadGateway, reasonConnectionLost)
 }
 
-// noteLost notes a request that the upstream may have begun and whose connection broke,
-// with nobody on this side having ended it.
-func (c *backendCall) noteLost(ended error, p *Problem) {
-	if ended == nil && p.class == retry.Ambiguous {
-		c.b.falls.lostConnection(c)
+// noteLostConnection reports to the crash detector a request that the upstream may have
+// begun to run and whose connection broke without being cancelled by this node.
+func (c *backendCall) noteLostConnection(ctxErr error, p *Problem) {
+	if ctxErr == nil && p.class == retry.Ambiguous {
+		c.b.detector.connectionLost(c)
 	}
 }
 
-// ended is called once when the answer's body ends.
-func (c *backendCall) ended(resp *http.Response, body *endingBody, whole bool, cancel context.CancelFunc) {
-	if !whole && c.req.Context().Err() == nil && clock.Now().Before(c.start.Add(c.env.Timeout)) {
-		c.b.falls.lostConnection(c)
+// responseEnded is called once, when the response's body ends.
+func (c *backendCall) responseEnded(resp *http.Response, body *trackedBody, complete bool, cancel context.CancelFunc) {
+	if !complete && c.req.Context().Err() == nil && clock.Now().Before(c.start.Add(c.env.Timeout)) {
+		c.b.detector.connectionLost(c)
 	}
-	c.leave(whole)
+	c.releaseSlot(complete)
 	cancel()
-	if !whole {
+	if !complete {
 		c.finishKey(ledger.OutcomeUnknown, nil)
 	} else if c.keyed {
 		c.finishKey(ledger.Done, &ledger.Answer{
 			Status: resp.StatusCode,
 			Header: resp.Header.Clone(),
-			Body:   bytes.Clone(body.tee.Bytes()),
-			Kept:   !body.over,
+			Body:   bytes.Clone(body.copied.Bytes()),
+			Kept:   !body.copyOverflowed,
 		})
 	}
 	c.b.inflight.Add(-1)
 }
 
-// drainedBody reads the rest of a keyed answer when the caller goes away, so
-// that a repeat gets it.
-type drainedBody struct{ *endingBody }
+// drainedBody reads the rest of a response to a keyed request if the caller
+// disconnects, so that a repeated request gets it.
+type drainedBody struct{ *trackedBody }
 
-// Close reads on in the background; the request's deadline bounds it.
+// Close reads the rest in the background; the request's deadline bounds that.
 func (d *drainedBody) Close() error {
-	if d.done {
-		return d.endingBody.Close()
+	if d.ended {
+		return d.trackedBody.Close()
 	}
 	go func() {
-		_, _ = io.Copy(io.Discard, d.endingBody)
-		_ = d.endingBody.Close()
+		_, _ = io.Copy(io.Discard, d.trackedBody)
+		_ = d.trackedBody.Close()
 	}()
 	return nil
 }
@@ -171,9 +173,9 @@
 func (c *backendCall) upstreamRequest(ctx context.Context) *http.Request {
 	out := c.req.Clone(ctx)
 	out.URL.Scheme, out.URL.Host = c.b.cfg.Upstream.Scheme, c.b.cfg.Upstream.Host
-	out.GetBody = nil // nothing may replay the request
+	out.GetBody = nil // net/http must not replay the request
 	if c.env.EmptyBody {
-		// A body of unknown length would be sent in chunks, even if empty.
+		// A body of unknown length would be sent chunked, even if it is empty.
 		out.Body, out.ContentLength = http.NoBody, 0
 	}
 	stripOwn(out.Header)
@@ -184,23 +186,23 @@
 	if d.ExpectedInstance != "" {
 		out.Header.Set(d.ExpectedInstance, c.env.Target)
 	}
-	d.nameCustomer(out.Header, c.env.Tenant)
+	d.setCustomer(out.Header, c.env.Tenant)
 	if c.env.Key != "" {
-		// net/http replays any request that has this header in its canonical
-		// form; HTTP header names are case-insensitive, its map is not.
+		// net/http replays any request that has this header in its canonical form. HTTP
+		// header names are case-insensitive, but the keys of the header map are not.
 		out.Header.Del(HeaderKey)
 		out.Header[rawKeyHeader] = []string{c.env.Key}
 	}
 	return out
 }
 
-// rawKeyHeader is HeaderKey in a form that net/http does not look for.
+// rawKeyHeader is HeaderKey in a form that net/http does not recognize.
 const rawKeyHeader = "idempotency-key"
 
-// transport chooses how the upstream is called. net/http sends a GET, HEAD,
-// OPTIONS or TRACE again when a kept connection turns out to be closed; where
-// the table says that such a request is not idempotent, it goes over a new
-// connection, on which nothing is replayed.
+// transport returns the transport for a request to the upstream. net/http resends a
+// GET, HEAD, OPTIONS or TRACE if a reused connection turns out to be closed. A request
+// with one of these methods that the table declares not idempotent therefore gets a new
+// connection, on which nothing is resent.
 func (b *Backend) transport(env Envelope, method string) http.RoundTripper {
 	if b.cfg.Transport != nil {
 		return b.cfg.Transport
@@ -210,13 +212,13 @@
 	}
 	switch method {
 	case http.MethodGet, http.MethodHead, http.MethodOptions, http.MethodTrace:
-		return b.fresh
+		return b.unpooled
 	}
 	return b.pooled
 }
 
-// fingerprint tells two requests under one key apart.
-func fingerprint(req *http.Request) uint64 {
+// keyFingerprint distinguishes different requests that use the same idempotency key.
+func keyFingerprint(req *http.Request) uint64 {
 	h := xxhash.New()
 	for _, part := range []string{req.Method, req.URL.Path, req.URL.RawQuery, strconv.FormatInt(req.ContentLength, 10)} {
 		_, _ = h.WriteString(part)
--- a/internal/proxy/envelope.go
+++ b/internal/proxy/envelope.go
@@ -1,11 +1,13 @@
-// Package proxy is the request path: HTTP in from callers, the hand-over to
-// the node beside the chosen upstream, and the call to the upstream itself.
+// Package proxy implements the request path: HTTP from callers, forwarding to the node
+// beside the chosen upstream, and the call to the upstream.
 //
-// Frontend serves callers on any node and Backend admits work for the one
-// upstream beside it. Both speak http.RoundTripper, so a request to the local
-// upstream and one to another node take the same path. The invariants: a
-// refusal marked not-run was never dispatched to the upstream, a
-// non-idempotent request is dispatched at most once, and a cut answer never
+// Frontend serves callers on any node, and Backend admits requests for the one upstream
+// beside its node. A Backend and the transports to other nodes implement
+// http.RoundTripper, so requests to the local upstream and to other nodes take the same
+// path.
+//
+// Invariants: a refusal marked not-run was never dispatched to the upstream, a
+// non-idempotent request is dispatched at most once, and a truncated response never
 // looks complete.
 package proxy
 
@@ -25,7 +27,7 @@
 const (
 	HeaderKey     = "Idempotency-Key"
 	HeaderTenant  = "X-Tenant"
-	HeaderTimeout = "Walldrift-Timeout-Ms" // time the caller waits; also from node to node
+	HeaderTimeout = "Walldrift-Timeout-Ms" // how long the caller waits; also sent between nodes
 	HeaderOutcome = "Walldrift-Outcome"
 	HeaderReason  = "Walldrift-Reason"
 	// HeaderRetryAfterMs is Retry-After in milliseconds.
@@ -36,30 +38,30 @@
 
 // Headers between nodes.
 const (
-	headerPrefix     = "Walldrift-"
-	headerTarget     = "Walldrift-Target"
-	headerService    = "Walldrift-Service"
-	headerKind       = "Walldrift-Kind"
-	headerKindWeight = "Walldrift-Kind-Weight"
-	headerIdempotent = "Walldrift-Idempotent"
-	headerTenantID   = "Walldrift-Tenant"
-	headerKeyValue   = "Walldrift-Key"
-	headerAwait      = "Walldrift-Await-Admission"
-	headerEmpty      = "Walldrift-Empty"
-	headerNoWait     = "Walldrift-No-Wait"
-	headerLeft       = "Walldrift-Objective-Left-Ms"
-	headerLate       = "Walldrift-Late"
-	headerPrint      = "Walldrift-Fingerprint"
-	headerLoad       = "Walldrift-Load"
-	// headerHeld is the time that an answer took at the admitting node and the
-	// upstream, in microseconds.
+	headerPrefix         = "Walldrift-"
+	headerTarget         = "Walldrift-Target"
+	headerService        = "Walldrift-Service"
+	headerKind           = "Walldrift-Kind"
+	headerKindWeight     = "Walldrift-Kind-Weight"
+	headerIdempotent     = "Walldrift-Idempotent"
+	headerTenantID       = "Walldrift-Tenant"
+	headerKeyValue       = "Walldrift-Key"
+	headerAwaitAdmission = "Walldrift-Await-Admission"
+	headerEmpty          = "Walldrift-Empty"
+	headerNoWait         = "Walldrift-No-Wait"
+	headerObjectiveLeft  = "Walldrift-Objective-Left-Ms"
+	headerLate           = "Walldrift-Late"
+	headerFingerprint    = "Walldrift-Fingerprint"
+	headerLoad           = "Walldrift-Load"
+	// headerHeld is the time from a request's arrival at the admitting node to the
+	// start of the response, including the upstream's time, in microseconds.
 	headerHeld = "Walldrift-Held-Us"
-	// headerRuns is how long requests of the kind run: "typical/safe", see
-	// overload.TypicalRun and overload.SafeRun, in microseconds.
-	headerRuns = "Walldrift-Runs-Us"
+	// headerRunTimes is how long requests of the kind run, as "typical/safe" in
+	// microseconds; see overload.TypicalRunQuantile and overload.SafeRunQuantile.
+	headerRunTimes = "Walldrift-Runs-Us"
 )
 
-// Envelope is what a node tells the admitting node about a request.
+// Envelope is what the forwarding node sends with a request to the admitting node.
 type Envelope struct {
 	Target     string
 	Service    string
@@ -69,38 +71,39 @@
 	Tenant     string
 	Key        string
 	Timeout    time.Duration
-	// Objective is how the request stands to its objective; nil if its route has none,
-	// so that it may wait until the timeout.
+	// Objective is the request's time left to its objective deadline; nil if its route
+	// has no objective, so that the request may wait until its timeout.
 	Objective *ObjectiveState
-	// AwaitsAdmission says that the sender holds the body back until the request is
+	// AwaitsAdmission says that the sender withholds the body until the request is
 	// admitted.
 	AwaitsAdmission bool
-	// EmptyBody says that the request has no body, which HTTP/3 leaves open.
+	// EmptyBody says that the request has no body; in HTTP/3 the length may be unknown.
 	EmptyBody bool
-	// NoWait asks for a refusal in place of waiting for a slot.
+	// NoWait asks for a refusal instead of waiting for a slot.
 	NoWait bool
-	// Fingerprint tells all attempts of the request from other requests; 0 if it is not
-	// known, as from a node of an earlier build.
+	// Fingerprint is the same for all attempts of a request and distinguishes it from
+	// other requests; 0 if unknown, as from a node of an earlier build.
 	Fingerprint quarantine.Fingerprint
 }
 
-// ObjectiveState is how a request stands to its objective.
+// ObjectiveState is where a request stands relative to its objective deadline.
 type ObjectiveState struct {
-	// Left is the time to the objective, less that of the way to the admitting
-	// node and back. It may be negative.
+	// Left is the time left to the objective deadline, less the network time to the
+	// admitting node and back. It may be negative.
 	Left time.Duration
-	// Late says that the request is more likely late than not.
+	// Late says that the request is more likely than not to miss its objective
+	// deadline.
 	Late bool
 }
 
-// late reports whether the request waits among those that are more likely late
-// than not.
+// late reports whether the request queues with those that are likely to miss their
+// objective deadline.
 func (e Envelope) late() bool { return e.Objective != nil && e.Objective.Late }
 
-// queueKind is the kind under which the request waits for a slot.
+// queueKind returns the kind under which the request waits for a slot.
 func (e Envelope) queueKind() string { return overload.QueueKind(e.Kind, e.late()) }
 
-// write replaces the headers of the project in h by those of the envelope.
+// write replaces the project's headers in h by those of the envelope.
 func (e Envelope) write(h http.Header) {
 	stripOwn(h)
 	h.Set(headerTarget, e.Target)
@@ -109,14 +112,14 @@
 	h.Set(headerKindWeight, strconv.FormatFloat(e.KindWeight, 'g', -1, 64))
 	h.Set(HeaderTimeout, strconv.FormatInt(e.Timeout.Milliseconds(), 10))
 	if e.Objective != nil {
-		h.Set(headerLeft, strconv.FormatInt(e.Objective.Left.Milliseconds(), 10))
+		h.Set(headerObjectiveLeft, strconv.FormatInt(e.Objective.Left.Milliseconds(), 10))
 		setFlag(h, headerLate, e.Objective.Late)
 	}
 	setIf(h, headerTenantID, e.Tenant)
 	setIf(h, headerKeyValue, e.Key)
-	setIf(h, headerPrint, e.Fingerprint.String())
+	setIf(h, headerFingerprint, e.Fingerprint.String())
 	setFlag(h, headerIdempotent, e.Idempotent)
-	setFlag(h, headerAwait, e.AwaitsAdmission)
+	setFlag(h, headerAwaitAdmission, e.AwaitsAdmission)
 	setFlag(h, headerEmpty, e.EmptyBody)
 	setFlag(h, headerNoWait, e.NoWait)
 }
@@ -144,7 +147,7 @@
 		Idempotent:      h.Get(headerIdempotent) == flagSet,
 		Tenant:          h.Get(headerTenantID),
 		Key:             h.Get(headerKeyValue),
-		AwaitsAdmission: h.Get(headerAwait) == flagSet,
+		AwaitsAdmission: h.Get(headerAwaitAdmission) == flagSet,
 		EmptyBody:       h.Get(headerEmpty) == flagSet,
 		NoWait:          h.Get(headerNoWait) == flagSet,
 	}
@@ -153,21 +156,21 @@
 		return e, errors.Wrap(err, "timeout")
 	}
 	e.Timeout = time.Duration(ms) * time.Millisecond
-	if v := h.Get(headerLeft); v != "" {
+	if v := h.Get(headerObjectiveLeft); v != "" {
 		if ms, err = strconv.ParseInt(v, 10, 64); err != nil {
-			return e, errors.Wrap(err, "time left to the objective")
+			return e, errors.Wrap(err, "time left to the objective deadline")
 		}
 		e.Objective = &ObjectiveState{Left: time.Duration(ms) * time.Millisecond, Late: h.Get(headerLate) == flagSet}
 	}
-	if e.Fingerprint, err = quarantine.ParseFingerprint(h.Get(headerPrint)); err != nil {
+	if e.Fingerprint, err = quarantine.ParseFingerprint(h.Get(headerFingerprint)); err != nil {
 		return e, err
 	}
 	e.KindWeight, err = strconv.ParseFloat(h.Get(headerKindWeight), 64)
 	return e, errors.Wrap(err, "kind weight")
 }
 
-// stripOwn removes the project's headers, so that neither callers nor
-// upstreams can speak for a node.
+// stripOwn removes the project's headers, so that neither callers nor upstreams can
+// forge a node's headers.
 func stripOwn(h http.Header) {
 	for name := range h {
 		if strings.HasPrefix(name, headerPrefix) {
@@ -176,13 +179,13 @@
 	}
 }
 
-// hopHeaders are meant for one connection only, RFC 9110 section 7.6.1.
+// hopHeaders apply to one connection only (RFC 9110 section 7.6.1).
 var hopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate",
 	"Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// stripHop removes the hop-by-hop headers, those named by Connection included.
+// stripHop removes the hop-by-hop headers, including those named by Connection.
 func stripHop(h http.Header) {
 	for _, v := range h.Values("Connection") {
 		for _, name := range strings.Split(v, ",") {
--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -18,255 +18,260 @@
 	"github.com/walldrift/walldrift/internal/version"
 )
 
-// exchange is one request of a caller with its tries.
+// exchange is one request of a caller together with its tries.
 type exchange struct {
 	f        *Frontend
 	route    *snapshot.Route
-	service  *snapshot.Service // of the route, or its share of a split
-	customer *table.Customer   // nil if the route needs none
-	// kind and priority are those of the route, or of the customer on it.
-	kind     string
-	priority int
-	counted  bool // against the limit of the customer
-	req      *http.Request
-	body     *requestBody
-	env      Envelope
-	start    time.Time
-	deadline time.Time
-	// first is when the caller's first attempt came, expiry when the caller gives
-	// up: zero if it did not say.
-	first, expiry time.Time
-	// aim is when the request should be answered; zero if its route has no
-	// objective.
-	aim     time.Time
-	tried   []string
-	tries   int
-	arrived int // tries that reached an upstream
-	// mayHaveRun is set once a try ended ambiguously; from then on nothing may
+	service  *snapshot.Service // the route's service, or the one chosen from its split
+	customer *table.Customer   // nil if the route needs no customer
+	// kind and priority are the route's, unless the customer's priority overrides them.
+	kind       string
+	priority   int
+	quotaTaken bool // counted against the customer's limit
+	req        *http.Request
+	body       *requestBody
+	env        Envelope
+	start      time.Time
+	deadline   time.Time
+	// firstAttempt is when the caller's first attempt arrived, callerExpiry is when the
+	// caller gives up; callerExpiry is zero if the caller did not say.
+	firstAttempt, callerExpiry time.Time
+	// objectiveDeadline is when the request should be answered; zero if its route has
+	// no objective.
+	objectiveDeadline time.Time
+	tried             []string
+	tries             int
+	upstreamTries     int // tries that may have reached an upstream
+	// mayHaveRun is set once a try ended ambiguously; from then on the outcome must not
 	// be reported as not run.
-	mayHaveRun bool
-	trail      []TryRecord
-	cut        CutRecord
-	ended      retry.Reason // why no further try was made
-	version    version.ID
-	// noWait asks the next admitting node for a slot at once.
+	mayHaveRun       bool
+	tryRecords       []TryRecord
+	cut              CutRecord
+	notRetriedReason retry.Reason // why no further try was made
+	version          version.ID
+	// noWait makes the next try ask for a slot without waiting for one.
 	noWait bool
-	// leaving is how the request stood to the end of this node when it came; nil
-	// if the node did not leave then.
-	leaving *ShutdownRecord
-	// begun says that the answer of the last try began to come, answering that it
-	// still comes.
-	begun     bool
-	answering atomic.Bool
+	// shutdown is the request's record during a shutdown of this node; nil if the node
+	// did not shut down when the request arrived.
+	shutdown *ShutdownRecord
+	// responseStarted says that the response of the last try has begun to arrive;
+	// responding says that it is still arriving.
+	responseStarted bool
+	responding      atomic.Bool
 }
 
-func (x *exchange) serve(ctx context.Context, w http.ResponseWriter) {
-	if problem := x.takeQuota(ctx); problem != nil {
-		x.finish(w, x.f.answer(problem, x.req))
+func (ex *exchange) serve(ctx context.Context, w http.ResponseWriter) {
+	if problem := ex.takeQuota(ctx); problem != nil {
+		ex.finish(w, ex.f.problemResponse(problem, ex.req))
 		return
 	}
 	var err error
-	_ = http.NewResponseController(w).SetReadDeadline(clock.Steady(x.deadline))
-	x.body, err = newRequestBody(x.req, x.f.bufferLimit(), x.f.cfg.BodyLimit())
+	_ = http.NewResponseController(w).SetReadDeadline(clock.Steady(ex.deadline))
+	ex.body, err = newRequestBody(ex.req, ex.f.bufferLimit(), ex.f.cfg.BodyLimit())
 	if err != nil {
-		x.finish(w, x.f.answer(bodyProblem(err), x.req))
+		ex.finish(w, ex.f.problemResponse(bodyProblem(err), ex.req))
 		return
 	}
-	x.env.Fingerprint = x.fingerprint()
-	if problem := x.overBeforeTry(ctx); problem != nil {
-		x.finish(w, x.f.answer(problem, x.req))
+	ex.env.Fingerprint = ex.fingerprint()
+	if problem := ex.abandonedBeforeTry(ctx); problem != nil {
+		ex.finish(w, ex.f.problemResponse(problem, ex.req))
 		return
 	}
-	if problem := x.heldBack(); problem != nil {
-		x.finish(w, x.f.answer(problem, x.req))
+	if problem := ex.refuseQuarantined(); problem != nil {
+		ex.finish(w, ex.f.problemResponse(problem, ex.req))
 		return
 	}
-	x.f.buffered.Add(x.body.kept())
-	defer func() { x.f.buffered.Add(-x.body.kept()) }()
-	x.f.earn(x.service.Name)
-	x.noWait = x.asksForSlot() && x.f.takeSpare()
-	var last *http.Response // of the try before; nil for none
+	ex.f.bufferedBodies.Add(ex.body.bufferedBytes())
+	defer func() { ex.f.bufferedBodies.Add(-ex.body.bufferedBytes()) }()
+	ex.f.depositRetryTokens(ex.service.Name)
+	ex.noWait = ex.triesWithoutWait() && ex.f.withdrawNoWaitToken()
+	var last *http.Response // response of the previous try; nil for none
 	for {
-		target, problem := x.choose()
+		target, problem := ex.choose()
 		if problem != nil {
-			x.giveUp(w, last, problem)
+			ex.finishWithoutUpstream(w, last, problem)
 			return
 		}
-		drop(last)
-		resp, class := x.try(ctx, target)
+		discardResponse(last)
+		resp, class := ex.try(ctx, target)
 		last = resp
-		x.f.metrics.tried(class)
-		if x.sendOn(ctx, class, resp) {
+		ex.f.metrics.tryEnded(class)
+		if ex.skipsBusyUpstream(ctx, class, resp) {
 			continue
 		}
-		x.mayHaveRun = x.mayHaveRun || class == retry.Ambiguous
+		ex.mayHaveRun = ex.mayHaveRun || class == retry.Ambiguous
 		if class.MayHaveReachedUpstream() {
-			x.arrived++
+			ex.upstreamTries++
 		}
 		if class == retry.Answered {
-			x.finish(w, resp)
+			ex.finish(w, resp)
 			return
 		}
-		reason := x.f.again(x.service.Name, retry.Try{
+		reason := ex.f.decideRetry(ex.service.Name, retry.Try{
 			Class:             class,
-			Idempotent:        x.route.Idempotent,
-			Arrived:           x.arrived,
-			Number:            x.tries,
-			Retries:           x.retries(),
-			Remaining:         x.remaining(class),
-			Replayable:        x.body.replayable(),
+			Idempotent:        ex.route.Idempotent,
+			Arrived:           ex.upstreamTries,
+			Number:            ex.tries,
+			Retries:           ex.retries(),
+			Remaining:         ex.remaining(class),
+			Replayable:        ex.body.replayable(),
 			RefusedEverywhere: resp.Header.Get(HeaderReason) == reasonQuarantined,
 		})
-		if reason != retry.Allowed || x.endsNow(ctx) {
-			x.f.metrics.notRetried(reason)
-			x.ended = reason
-			x.finish(w, resp)
+		if reason != retry.Allowed || ex.retriesStopped(ctx) {
+			ex.f.metrics.notRetried(reason)
+			ex.notRetriedReason = reason
+			ex.finish(w, resp)
 			return
 		}
 	}
 }
 
-// fingerprint tells all attempts of the request from other requests.
-func (x *exchange) fingerprint() quarantine.Fingerprint {
-	r := quarantine.Request{RequestInfo: about(x.req, x.env.Tenant), Body: x.body.buffered}
-	if x.body.streams() {
-		r.Length = x.body.length
+// fingerprint distinguishes this request from others; it is the same for all of its
+// attempts.
+func (ex *exchange) fingerprint() quarantine.Fingerprint {
+	r := quarantine.Request{RequestInfo: requestInfo(ex.req, ex.env.Tenant), Body: ex.body.buffered}
+	if ex.body.streamed() {
+		r.Length = ex.body.length
 	}
 	return r.Fingerprint()
 }
 
-// overBeforeTry says why a request whose body has come is not tried at all; nil if
-// it is. A body that lay in the kernel during a stall of this process is read after
-// the time of its request is over, or with the close of its caller behind it: 33 to 73
-// of 200 requests that came in one packet with the close were handed on, 0 with this
-// look.
-func (x *exchange) overBeforeTry(ctx context.Context) *Problem {
+// abandonedBeforeTry returns the problem of a request that must not be tried although
+// its body has arrived; nil if it may be tried. After a process pause, a body that the
+// kernel had buffered is read when the request's deadline has passed, or when the
+// caller has already disconnected. Without this check, 33 to 73 of 200 requests that
+// arrived in one packet with the close of their connection were forwarded.
+func (ex *exchange) abandonedBeforeTry(ctx context.Context) *Problem {
 	switch {
 	case !http1.CallerDisconnected(ctx):
 		return nil
-	case x.f.endingRuns.Err() != nil:
-		return notRun(http.StatusServiceUnavailable, retry.Refused, reasonLeaving, defaultRetryAfter)
+	case ex.f.unansweredCtx.Err() != nil:
+		return notRun(http.StatusServiceUnavailable, retry.Refused, reasonNodeLeaves, defaultRetryAfter)
 	}
 	return notRun(http.StatusRequestTimeout, retry.Refused, reasonDeadline, 0)
 }
 
-// giveUp answers a request for which no further upstream can be chosen: with
-// what the last try brought, or the problem if there was none.
-func (x *exchange) giveUp(w http.ResponseWriter, last *http.Response, problem *Problem) {
-	x.ended = retry.ReasonNoUpstream
-	x.f.metrics.notRetried(x.ended)
+// finishWithoutUpstream answers a request for which no further upstream can be chosen:
+// with the last try's response, or with the problem if there was no try.
+func (ex *exchange) finishWithoutUpstream(w http.ResponseWriter, last *http.Response, problem *Problem) {
+	ex.notRetriedReason = retry.ReasonNoUpstream
+	ex.f.metrics.notRetried(ex.notRetriedReason)
 	if last == nil {
-		last = x.f.answer(problem, x.req)
+		last = ex.f.problemResponse(problem, ex.req)
 	}
-	x.finish(w, last)
+	ex.finish(w, last)
 }
 
-// drop ends a response that is not passed on. A short one is read to its end, so
-// that its connection can be used again.
-func drop(resp *http.Response) {
+// discardResponse closes a response that is not forwarded. A short one is read to its
+// end, so that its connection can be reused.
+func discardResponse(resp *http.Response) {
 	if resp == nil {
 		return
 	}
-	_, _ = io.CopyN(io.Discard, resp.Body, dropLimit)
+	_, _ = io.CopyN(io.Discard, resp.Body, discardLimit)
 	_ = resp.Body.Close()
 }
 
-// dropLimit is the longest rest of a dropped response that is read.
-const dropLimit = 4 << 10
+// discardLimit is the most bytes read from a discarded response.
+const discardLimit = 4 << 10
 
-// remaining is the time left for another try: until its objective while that can
-// be met and no upstream has seen the request, otherwise until the deadline.
-func (x *exchange) remaining(class retry.Class) time.Duration {
-	if x.arrived == 0 && class.NotRun() && !x.aim.IsZero() && !x.env.late() {
-		return clock.Until(x.aim)
+// remaining returns the time left for another try: until the objective deadline as long
+// as that can be met and no upstream has seen the request, otherwise until the
+// request's deadline.
+func (ex *exchange) remaining(class retry.Class) time.Duration {
+	if ex.upstreamTries == 0 && class.NotRun() && !ex.objectiveDeadline.IsZero() && !ex.env.late() {
+		return clock.Until(ex.objectiveDeadline)
 	}
-	return clock.Until(x.deadline)
+	return clock.Until(ex.deadline)
 }
 
-// asksForSlot reports whether the request first asks for a slot at once. Where the
-// waits are told, the choice knows them already: asking first sent calls from the
-// quickest upstream on to one that could not run them in time, and their parents
-// failed. Without it 5.0% in place of 11.2% of the answers were failures of the
-// upstream itself on a day with a service of two upstreams left (one play each).
-func (x *exchange) asksForSlot() bool {
-	return !x.f.cfg.Routing.ByExpectedTime && x.mayGoElsewhere()
+// triesWithoutWait reports whether the first try asks for a slot without waiting for
+// one. If the router chooses by expected time, it already takes the waits from the load
+// reports into account. A try without waiting would then move calls from the fastest
+// upstream to one that cannot run them in time, and the requests that made these calls
+// would fail: with a service reduced to two upstreams, 11.2% instead of 5.0% of the
+// responses were failures of the upstream itself.
+func (ex *exchange) triesWithoutWait() bool {
+	return !ex.f.cfg.Routing.ByExpectedTime && ex.hasAlternative()
 }
 
-// mayGoElsewhere reports whether another upstream could take the request.
-func (x *exchange) mayGoElsewhere() bool {
-	return x.route.Upstream == "" && !x.homed() && len(x.service.Upstreams) > 1
+// hasAlternative reports whether another upstream could run the request.
+func (ex *exchange) hasAlternative() bool {
+	return ex.route.Upstream == "" && !ex.hasOwner() && len(ex.service.Upstreams) > 1
 }
 
-// homed reports whether the request has one home, which alone may run it.
-func (x *exchange) homed() bool { return x.env.Key != "" && !x.route.Idempotent }
+// hasOwner reports whether only the owner of the request's idempotency key may run it.
+func (ex *exchange) hasOwner() bool { return ex.env.Key != "" && !ex.route.Idempotent }
 
-// sendOn reports whether the request goes on to another upstream because the
-// first one had no slot free. It happens once, and the next one may queue it.
-func (x *exchange) sendOn(ctx context.Context, class retry.Class, resp *http.Response) bool {
-	if !x.noWait {
+// skipsBusyUpstream reports whether the request goes to another upstream because the
+// first one had no free slot. That happens at most once per request; the next upstream
+// may queue it.
+func (ex *exchange) skipsBusyUpstream(ctx context.Context, class retry.Class, resp *http.Response) bool {
+	if !ex.noWait {
 		return false
 	}
-	x.noWait = false
+	ex.noWait = false
 	if class != retry.Limited || resp.Header.Get(HeaderReason) != string(admission.ReasonBusy) {
-		x.f.returnSpare()
+		ex.f.refundNoWaitToken()
 		return false
 	}
-	return x.body.replayable() && ctx.Err() == nil
+	return ex.body.replayable() && ctx.Err() == nil
 }
 
-// retries is the number of further tries. Where those that end at a node are
-// not counted apart, one more is always allowed after a try that did not run, as
-// the budget permits; otherwise the route's number holds for upstreams.
-func (x *exchange) retries() int {
-	if x.f.cfg.Retry.FreeTries > 0 {
-		return x.route.Retries
+// retries returns the maximum number of further tries. If the retry policy counts tries
+// that ended at a node separately (FreeTries), it is the route's number; otherwise it
+// is at least 1, so that a try that did not run can be repeated as far as the budget
+// permits.
+func (ex *exchange) retries() int {
+	if ex.f.cfg.Retry.FreeTries > 0 {
+		return ex.route.Retries
 	}
-	return max(x.route.Retries, 1)
+	return max(ex.route.Retries, 1)
 }
 
-// finish sends the response to the caller and counts the request.
-func (x *exchange) finish(w http.ResponseWriter, resp *http.Response) {
+// finish sends the response to the caller and records the request.
+func (ex *exchange) finish(w http.ResponseWriter, resp *http.Response) {
 	outcome := resp.Header.Get(HeaderOutcome)
 	if outcome != "" {
-		x.speakTo(resp)
+		ex.applyDialect(resp)
 	}
-	if x.mayHaveRun && Outcome(outcome) == OutcomeNotRun {
-		// The last try did not run, an earlier one may have.
-		drop(resp)
-		resp = x.f.answer(unknownOutcome(http.StatusBadGateway, resp.Header.Get(HeaderReason)), x.req)
+	if ex.mayHaveRun && Outcome(outcome) == OutcomeNotRun {
+		// The last try did not run, but an earlier one may have.
+		discardResponse(resp)
+		resp = ex.f.problemResponse(unknownOutcome(http.StatusBadGateway, resp.Header.Get(HeaderReason)), ex.req)
 		outcome = string(OutcomeUnknown)
 	}
 	if outcome == "" {
 		outcome = outcomeNames[0]
 	}
-	x.returnQuota(outcome)
+	ex.returnQuota(outcome)
 	sent, err := copyResponse(w, resp)
 	if err != nil {
 		outcome = outcomeNames[len(outcomeNames)-1]
-		x.noteCut(clock.Now(), sent, err)
+		ex.recordCut(clock.Now(), sent, err)
 	}
-	took := clock.Since(x.start)
+	took := clock.Since(ex.start)
 	if outcome == outcomeNames[0] {
-		x.f.noteTime(x.kind, took)
+		ex.f.observeResponseTime(ex.kind, took)
 	}
-	x.f.metrics.finished(x.kind, x.env.Tenant, outcome, took, x.tries)
-	x.endLeaving(outcome, resp.Header.Get(HeaderReason))
-	x.record(resp.StatusCode, outcome, resp.Header.Get(HeaderReason))
-	x.remember(resp.StatusCode)
+	ex.f.metrics.finished(ex.kind, ex.env.Tenant, outcome, took, ex.tries)
+	ex.finishShutdownRecord(outcome, resp.Header.Get(HeaderReason))
+	ex.record(resp.StatusCode, outcome, resp.Header.Get(HeaderReason))
+	ex.rememberRefusal(resp.StatusCode)
 	if err != nil {
-		// The status is out; only a broken connection tells the caller that the
-		// answer is not whole.
+		// The status has been sent; only a broken connection tells the caller that the
+		// response is incomplete.
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// speakTo puts an answer that a node made into the caller's dialect.
-func (x *exchange) speakTo(resp *http.Response) {
-	d := x.f.cfg.Dialect
+// applyDialect adds the headers of the caller's dialect to a response that a node made.
+func (ex *exchange) applyDialect(resp *http.Response) {
+	d := ex.f.cfg.Dialect
 	if ms, err := strconv.ParseInt(resp.Header.Get(HeaderRetryAfterMs), 10, 64); err == nil {
 		resp.Header.Set("Retry-After", d.retryAfter(time.Duration(ms)*time.Millisecond))
 	}
 	if d.RequestID != "" {
-		resp.Header.Set(d.RequestID, x.req.Header.Get(d.RequestID))
+		resp.Header.Set(d.RequestID, ex.req.Header.Get(d.RequestID))
 	}
 }
--- a/internal/proxy/frontend_test.go
+++ b/internal/proxy/frontend_test.go
@@ -21,8 +21,8 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// scripted answers each hand-over by the next function of its script, and the
-// last one from then on.
+// scripted answers each forwarded request by the next function of its script; the last
+// one repeats.
 type scripted struct {
 	script []func(*http.Request) (*http.Response, error)
 	seen   []Envelope
@@ -42,19 +42,19 @@
 	return s.script[at](r)
 }
 
-func lost(*http.Request) (*http.Response, error) { return nil, io.ErrUnexpectedEOF }
+func failConnection(*http.Request) (*http.Response, error) { return nil, io.ErrUnexpectedEOF }
 
 func refuse(reason admission.Reason) func(*http.Request) (*http.Response, error) {
 	return func(r *http.Request) (*http.Response, error) {
-		return refusedBy(admission.Verdict{Reason: reason, RetryAfter: time.Second}).response(r), nil
+		return admissionProblem(admission.Verdict{Reason: reason, RetryAfter: time.Second}).response(r), nil
 	}
 }
 
-func answer(r *http.Request) (*http.Response, error) {
+func respondOK(r *http.Request) (*http.Response, error) {
 	return &http.Response{StatusCode: http.StatusOK, Header: http.Header{}, Body: io.NopCloser(strings.NewReader("ok")), ContentLength: 2, Request: r}, nil
 }
 
-// serve sends one request through a frontend over a scripted way.
+// serve sends one request through a frontend with a scripted transport.
 func serve(t *testing.T, s *scripted, method, path string) *httptest.ResponseRecorder {
 	t.Helper()
 	f := newTestFrontend(t, FrontendConfig{Retry: retry.DefaultPolicy()}, everyMember, s)
@@ -74,30 +74,30 @@
 	return NewFrontend(cfg, h, members, s, NewMetrics(tally.NoopScope), func() bool { return true })
 }
 
-// everyMember takes every name for a living instance.
+// everyMember treats every name as a live instance.
 func everyMember(name string) (membership.Member, bool) {
 	return membership.Member{Instance: membership.Instance{Name: name}}, true
 }
 
-// Once a try may have run, a later refusal does not make the request "not run".
-func TestNotRunIsNotClaimedAfterAnAmbiguousTry(t *testing.T) {
-	s := &scripted{script: []func(*http.Request) (*http.Response, error){lost, refuse(admission.ReasonQueueFull)}}
+// Once a try may have run, a later refusal must not turn the outcome into "not run".
+func TestNotRunIsNotReportedAfterAmbiguousTry(t *testing.T) {
+	s := &scripted{script: []func(*http.Request) (*http.Response, error){failConnection, refuse(admission.ReasonQueueFull)}}
 	w := serve(t, s, http.MethodGet, "/tariff/x")
 	assert.Equal(t, len(s.seen), 2)
 	assert.Equal(t, w.Header().Get(HeaderOutcome), string(OutcomeUnknown))
 }
 
-func TestAmbiguousNonIdempotentIsAnsweredAtOnce(t *testing.T) {
-	s := &scripted{script: []func(*http.Request) (*http.Response, error){lost}}
+func TestAmbiguousNonIdempotentIsNotRetried(t *testing.T) {
+	s := &scripted{script: []func(*http.Request) (*http.Response, error){failConnection}}
 	w := serve(t, s, http.MethodPost, "/payments/x")
 	assert.Equal(t, len(s.seen), 1)
 	assert.Equal(t, w.Code, http.StatusBadGateway)
 	assert.Equal(t, w.Header().Get(HeaderOutcome), string(OutcomeUnknown))
 }
 
-// A busy upstream sends the request on to another, which may queue it.
-func TestBusyUpstreamSendsOn(t *testing.T) {
-	s := &scripted{script: []func(*http.Request) (*http.Response, error){refuse(admission.ReasonBusy), answer}}
+// A request that finds no free slot goes to another upstream, which may queue it.
+func TestBusyUpstreamIsSkippedOnce(t *testing.T) {
+	s := &scripted{script: []func(*http.Request) (*http.Response, error){refuse(admission.ReasonBusy), respondOK}}
 	w := serve(t, s, http.MethodPost, "/payments/x")
 	assert.Equal(t, w.Body.String(), "ok")
 	assert.Equal(t, len(s.seen), 2)
@@ -105,9 +105,10 @@
 	assert.Assert(t, s.seen[0].Target != s.seen[1].Target)
 }
 
-// Where the choice knows the waits, a request does not ask for a slot first.
-func TestChoiceByTimeQueuesAtOnce(t *testing.T) {
-	s := &scripted{script: []func(*http.Request) (*http.Response, error){answer}}
+// If the router chooses by expected time, a request does not try for a slot without
+// waiting.
+func TestChoiceByExpectedTimeQueuesAtOnce(t *testing.T) {
+	s := &scripted{script: []func(*http.Request) (*http.Response, error){respondOK}}
 	f := newTestFrontend(t, FrontendConfig{Retry: retry.DefaultPolicy()}, everyMember, s)
 	f.cfg.Routing.ByExpectedTime = true
 	f.ServeHTTP(httptest.NewRecorder(), httptest.NewRequest(http.MethodPost, "/payments/x", nil))
@@ -115,7 +116,7 @@
 	assert.Assert(t, !s.seen[0].NoWait)
 }
 
-func TestCallersCannotSpeakForANode(t *testing.T) {
+func TestCallersCannotForgeNodeHeaders(t *testing.T) {
 	h := http.Header{"Walldrift-Idempotent": {"true"}, "Walldrift-Class": {"refused"}, "X-Other": {"1"}}
 	Envelope{Target: "a", Kind: "k"}.write(h)
 	env, err := readEnvelope(h)
@@ -125,9 +126,9 @@
 	assert.Equal(t, h.Get("X-Other"), "1")
 }
 
-// When no upstream may be used, the request is answered at once: choosing again
-// would only spin until the deadline.
-func TestNoUpstreamIsChosenOnce(t *testing.T) {
+// If no upstream is available, the request is answered at once; choosing again would
+// only loop until the deadline.
+func TestNoUpstreamIsAnsweredAtOnce(t *testing.T) {
 	asked := make(map[string]int)
 	none := func(name string) (membership.Member, bool) {
 		asked[name]++
@@ -144,22 +145,22 @@
 	}
 }
 
-// Beyond the total, long bodies are streamed in place of kept; what was kept is
-// given back when the request ends.
-func TestKeptBodiesAreBounded(t *testing.T) {
+// Once BufferTotal is reached, long bodies stream instead of being buffered. The
+// buffered bytes are released when the request ends.
+func TestBufferedBodiesAreBounded(t *testing.T) {
 	const long = 40 << 10
 	var f *Frontend
 	var limits []int64
 	s := &scripted{script: []func(*http.Request) (*http.Response, error){func(r *http.Request) (*http.Response, error) {
-		limits = append(limits, f.bufferLimit(), f.buffered.Load())
-		return answer(r)
+		limits = append(limits, f.bufferLimit(), f.bufferedBodies.Load())
+		return respondOK(r)
 	}}}
 	f = newTestFrontend(t, FrontendConfig{Retry: retry.DefaultPolicy(), BufferLimit: long, BufferTotal: long}, everyMember, s)
 	for _, n := range []int{long, 100} {
 		w := httptest.NewRecorder()
 		f.ServeHTTP(w, httptest.NewRequest(http.MethodPost, "/payments/x", strings.NewReader(strings.Repeat("b", n))))
 		assert.Equal(t, w.Code, http.StatusOK)
-		assert.Equal(t, f.buffered.Load(), int64(0))
+		assert.Equal(t, f.bufferedBodies.Load(), int64(0))
 	}
 	assert.DeepEqual(t, limits, []int64{defaultBufferLimit, long, long, 100})
 }
--- a/internal/proxy/hop.go
+++ b/internal/proxy/http1_dispatcher.go
@@ -9,36 +9,36 @@
 	"github.com/walldrift/walldrift/internal/membership"
 )
 
-// HTTP1Dispatcher hands requests over to other nodes by HTTP/1.1 on pooled connections. It
-// implements Dispatcher.
+// HTTP1Dispatcher forwards requests to other nodes by HTTP/1.1 on pooled connections.
+// It implements Dispatcher.
 type HTTP1Dispatcher struct {
 	client *http1.Client
 	local  http.RoundTripper
 	self   netip.Addr
 }
 
-// NewHTTP1Dispatcher returns the way from the node at self, whose own upstream is reached
-// through local.
+// NewHTTP1Dispatcher returns the dispatcher of the node at address self; local is the
+// transport to its own upstream.
 func NewHTTP1Dispatcher(client *http1.Client, self netip.Addr, local http.RoundTripper) *HTTP1Dispatcher {
 	return &HTTP1Dispatcher{client: client, local: local, self: self}
 }
 
-// TransportTo is described at Dispatcher.
+// TransportTo implements Dispatcher.
 func (h *HTTP1Dispatcher) TransportTo(_ context.Context, in membership.Instance) (http.RoundTripper, error) {
 	if in.Peer.Addr() == h.self {
 		return h.local, nil
 	}
-	return peerTripper{client: h.client, addr: in.Peer.String()}, nil
+	return peerTransport{client: h.client, addr: in.Peer.String()}, nil
 }
 
-// peerTripper sends one request to the node at an address.
-type peerTripper struct {
+// peerTransport sends requests to the node at one address.
+type peerTransport struct {
 	client *http1.Client
 	addr   string
 }
 
 // RoundTrip sends the request once.
-func (p peerTripper) RoundTrip(req *http.Request) (*http.Response, error) {
+func (p peerTransport) RoundTrip(req *http.Request) (*http.Response, error) {
 	req.URL.Scheme, req.URL.Host = "http", p.addr
 	return p.client.RoundTrip(req)
 }
--- a/internal/proxy/keys.go
+++ b/internal/proxy/idempotency_key.go
@@ -10,8 +10,8 @@
 	"github.com/walldrift/walldrift/internal/ledger"
 )
 
-// beginKey asks the ledger about a keyed request. A response or a problem
-// means that the request is answered already.
+// beginKey looks up a keyed request in the ledger. A non-nil response or problem
+// answers the request; otherwise it may run.
 func (c *backendCall) beginKey(ctx context.Context) (*http.Response, *Problem) {
 	b := c.b
 	c.key = ledger.Key{Service: c.env.Service, Tenant: c.env.Tenant, Value: c.env.Key}
@@ -21,28 +21,28 @@
 	}
 	now := clock.Now()
 	b.mu.Lock()
-	v := b.ledger.Begin(now, c.key, fingerprint(c.req), snap.ID)
-	var ask []string
+	v := b.ledger.Begin(now, c.key, keyFingerprint(c.req), snap.ID)
+	var owners []string
 	if v.Decision == ledger.Run {
-		ask = b.history.OwnersToClaimFrom(now, c.key, b.cfg.Name)
+		owners = b.ownerHistory.OwnersToClaimFrom(now, c.key, b.cfg.Name)
 		if v.AlsoClaimFrom != "" {
-			ask = append(ask, v.AlsoClaimFrom)
+			owners = append(owners, v.AlsoClaimFrom)
 		}
 	}
 	b.mu.Unlock()
-	if len(ask) > 0 {
+	if len(owners) > 0 {
 		fence := ledger.Fence{Home: b.cfg.Name, Version: snap.ID}
-		v = ledger.ClaimFromOthers(b.cfg.Name, ask, func(home string) (ledger.Verdict, error) {
-			return b.claims.Claim(ctx, home, c.key, fence)
+		v = ledger.ClaimFromOthers(b.cfg.Name, owners, func(owner string) (ledger.Verdict, error) {
+			return b.claims.Claim(ctx, owner, c.key, fence)
 		})
 		if v.Decision != ledger.Run {
 			c.finishKey(ledger.NotRun, nil)
 		}
 	}
-	return c.resolve(v)
+	return c.resolveVerdict(v)
 }
 
-func (c *backendCall) resolve(v ledger.Verdict) (*http.Response, *Problem) {
+func (c *backendCall) resolveVerdict(v ledger.Verdict) (*http.Response, *Problem) {
 	if v.Decision == ledger.Run {
 		return nil, nil
 	}
@@ -53,12 +53,12 @@
 	return nil, keyProblem(v.Decision)
 }
 
-// headerReplayed marks an answer that was kept from an earlier attempt.
+// headerReplayed marks a response that was stored for an earlier attempt.
 const headerReplayed = "Walldrift-Replayed"
 
 func (c *backendCall) replay(a *ledger.Answer) *http.Response {
 	h := http.Header(a.Header).Clone()
-	c.b.stamp(h, c.env, false)
+	c.b.setReportHeaders(h, c.env, false)
 	h.Set(headerReplayed, "true")
 	return &http.Response{
 		StatusCode:    a.Status,
@@ -81,7 +81,7 @@
 	c.b.ledger.Finish(clock.Now(), c.key, o, a)
 }
 
-// Claim answers another home of a key.
+// Claim handles a claim of a later owner of a key.
 func (b *Backend) Claim(k ledger.Key, f ledger.Fence) ledger.Verdict {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/proxy/metrics.go
+++ b/internal/proxy/metrics.go
@@ -10,14 +10,14 @@
 	"github.com/walldrift/walldrift/internal/retry"
 )
 
-// maxLabels bounds the kinds and tenants with histograms of their own; later
-// ones share otherLabel.
+// maxLabels bounds the number of kinds and of tenants with histograms of their own;
+// further ones share otherLabel.
 const (
 	maxLabels  = 64
 	otherLabel = "other"
 )
 
-// latencyBuckets and tryBuckets are the histogram bounds.
+// latencyBuckets and tryBuckets are the bucket bounds of the histograms.
 var (
 	latencyBuckets = tally.MustMakeExponentialDurationBuckets(250*time.Microsecond, 2, 18)
 	tryBuckets     = tally.MustMakeLinearValueBuckets(1, 1, 6)
@@ -25,13 +25,13 @@
 
 // Metrics holds the counters and histograms of the request path.
 type Metrics struct {
-	scope   tally.Scope
-	kinds   *labelled[*kindMetrics]
-	tenants *labelled[tally.Histogram]
-	classes *labelled[tally.Counter]
-	reasons *labelled[tally.Counter]
-	cuts    *labelled[tally.Counter]
-	turned  *labelled[tally.Counter]
+	scope    tally.Scope
+	kinds    *labelled[*kindMetrics]
+	tenants  *labelled[tally.Histogram]
+	classes  *labelled[tally.Counter]
+	reasons  *labelled[tally.Counter]
+	cuts     *labelled[tally.Counter]
+	refusals *labelled[tally.Counter]
 }
 
 // kindMetrics are the metrics of one kind of request.
@@ -40,7 +40,7 @@
 	outcomes                 map[string]tally.Counter
 }
 
-// outcomeCut is the outcome of an answer that broke off.
+// outcomeCut is the outcome of a truncated response.
 const outcomeCut = "cut"
 
 // outcomeNames are the values of the outcome label.
@@ -55,15 +55,15 @@
 		tenants: newLabelled(func(l string) tally.Histogram {
 			return tagged("tenant", l).Histogram("tenant_request_seconds", latencyBuckets)
 		}),
-		classes: newLabelled(func(l string) tally.Counter { return tagged("class", l).Counter("tries_ended") }),
-		reasons: newLabelled(func(l string) tally.Counter { return tagged("reason", l).Counter("not_retried") }),
-		turned:  newLabelled(func(l string) tally.Counter { return tagged("reason", l).Counter("upstream_refusals") }),
-		cuts:    newLabelled(func(l string) tally.Counter { return tagged("reason", l).Counter("answers_cut") }),
+		classes:  newLabelled(func(l string) tally.Counter { return tagged("class", l).Counter("tries_ended") }),
+		reasons:  newLabelled(func(l string) tally.Counter { return tagged("reason", l).Counter("not_retried") }),
+		refusals: newLabelled(func(l string) tally.Counter { return tagged("reason", l).Counter("upstream_refusals") }),
+		cuts:     newLabelled(func(l string) tally.Counter { return tagged("reason", l).Counter("answers_cut") }),
 	}
 }
 
-// labelled keeps a value for each label, the first maxLabels apart and the rest
-// under otherLabel.
+// labelled holds one value for each label: the first maxLabels labels have their own,
+// the rest share that of otherLabel.
 type labelled[T any] struct {
 	mu     sync.RWMutex
 	values map[string]T
@@ -74,7 +74,7 @@
 	return &labelled[T]{values: make(map[string]T), make: f}
 }
 
-// get returns the value of a label and makes it when it is first asked for.
+// get returns the value of a label and creates it on first use.
 func (l *labelled[T]) get(label string) T {
 	l.mu.RLock()
 	v, ok := l.values[label]
@@ -124,7 +124,7 @@
 	}
 }
 
-func (m *Metrics) tried(c retry.Class) {
+func (m *Metrics) tryEnded(c retry.Class) {
 	m.classes.get(c.String()).Inc(1)
 }
 
@@ -132,10 +132,10 @@
 	m.reasons.get(string(r)).Inc(1)
 }
 
-// refused counts a request that the node beside an upstream did not hand to it.
-func (m *Metrics) refused(reason string) { m.turned.get(reason).Inc(1) }
+// refused counts a request that the backend refused to dispatch to its upstream.
+func (m *Metrics) refused(reason string) { m.refusals.get(reason).Inc(1) }
 
-func (m *Metrics) cutBy(r CutReason) {
+func (m *Metrics) responseCut(r CutReason) {
 	m.cuts.get(string(r)).Inc(1)
 }
 
@@ -143,7 +143,8 @@
 	m.scope.Tagged(map[string]string{"decision": d.String()}).Counter("key_decisions").Inc(1)
 }
 
-// left counts one request that a leaving node took, refused or cut.
-func (m *Metrics) left(stage string, fate ShutdownOutcome) {
-	m.scope.Tagged(map[string]string{"stage": stage, "fate": string(fate)}).Counter("leaving_requests").Inc(1)
+// shutdownRequest counts one request that a node accepted, refused or cut during its
+// shutdown.
+func (m *Metrics) shutdownRequest(stage string, outcome ShutdownOutcome) {
+	m.scope.Tagged(map[string]string{"stage": stage, "fate": string(outcome)}).Counter("leaving_requests").Inc(1)
 }
--- a/internal/proxy/outcome.go
+++ b/internal/proxy/outcome.go
@@ -14,64 +14,65 @@
 	"github.com/walldrift/walldrift/internal/retry"
 )
 
-// Outcome tells a caller whether its request ran. It stands in HeaderOutcome
-// of every answer that a node makes itself.
+// Outcome tells a caller whether its request ran. It is sent in HeaderOutcome with
+// every response that a node makes itself.
 type Outcome string
 
-// The outcomes.
+// Outcomes of a request.
 const (
 	// OutcomeNotRun means that this attempt certainly did not run.
 	OutcomeNotRun Outcome = "not-run"
-	// OutcomeUnknown means that it may have run.
+	// OutcomeUnknown means that the request may have run.
 	OutcomeUnknown Outcome = "unknown"
-	// OutcomeRunning means that the same key is running now.
+	// OutcomeRunning means that a request with the same key is running now.
 	OutcomeRunning Outcome = "running"
-	// OutcomeRan means that the same key has run, and its answer is not kept.
+	// OutcomeRan means that a request with the same key has run, but its response was
+	// not stored.
 	OutcomeRan Outcome = "ran"
 )
 
-// Reasons given besides those of admission and ledger.
+// Reasons in addition to those of packages admission and ledger.
 const (
-	reasonNoTable     = "no-table"
-	reasonNotInSync   = "not-in-sync" // no neighbour has told what it holds, since the start or a pause
-	reasonFull        = "too-many-requests"
-	reasonLeaving     = "node-leaves" // its answer would not come before the end of this node
-	reasonNoRoute     = "no-route"
-	reasonUnknownKey  = "unknown-key" // no customer holds the key of the request, or it has none
-	reasonQuota       = "quota"       // the customer is over its limit
-	reasonBusy        = "all-busy"    // every upstream is known to have too many waiting
-	reasonNoUpstream  = "no-upstream"
-	reasonBadRequest  = "bad-request"
-	reasonBodyCut     = "body-cut" // the sender broke off amid the body
-	reasonUnreachable = "unreachable"
-	reasonLost        = "connection-lost"
-	reasonDeadline    = "deadline"
-	reasonHome        = "home-unavailable"
-	reasonUpstream    = "upstream-refused-connection"
-	reasonRejected    = "upstream-rejected"  // the upstream says that it did not run it
-	reasonMisdirected = "another-instance"   // the upstream's address answers for another instance
-	reasonNotGenuine  = "answer-not-genuine" // a success without the upstream's signature
-	reasonUnproven    = "refusal-not-proven" // a refusing status that does not say "not run"
+	reasonNoTable           = "no-table"
+	reasonNotInSync         = "not-in-sync" // no peer has sent its state since the start or a process pause
+	reasonTooManyRequests   = "too-many-requests"
+	reasonNodeLeaves        = "node-leaves" // its response would not arrive before this node's shutdown deadline
+	reasonNoRoute           = "no-route"
+	reasonUnknownKey        = "unknown-key" // no customer has the request's key, or the request has none
+	reasonQuota             = "quota"       // the customer exceeds its limit
+	reasonAllBusy           = "all-busy"    // every upstream is known to have too long a queue
+	reasonNoUpstream        = "no-upstream"
+	reasonBadRequest        = "bad-request"
+	reasonBodyCut           = "body-cut" // the sender's connection broke in the middle of the body
+	reasonUnreachable       = "unreachable"
+	reasonConnectionLost    = "connection-lost"
+	reasonDeadline          = "deadline"
+	reasonOwnerUnavailable  = "home-unavailable"
+	reasonConnectionRefused = "upstream-refused-connection"
+	reasonRejected          = "upstream-rejected"  // the upstream says that it did not run the request
+	reasonWrongInstance     = "another-instance"   // another instance answers at the upstream's address
+	reasonNotGenuine        = "answer-not-genuine" // a success without the upstream's signature
+	reasonRefusalNotProven  = "refusal-not-proven" // a status that implies "not run", without the upstream's statement that it did not run
 )
 
-// Problem is an answer that a node makes itself, in the form of RFC 9457.
+// Problem is a response that a node makes itself, in the format of RFC 9457.
 type Problem struct {
 	Status       int     `json:"status"`
 	Title        string  `json:"title"`
 	Outcome      Outcome `json:"outcome"`
 	Reason       string  `json:"reason"`
 	RetryAfterMs int64   `json:"retry_after_ms,omitempty"`
-	// class is how the caller's node counts it.
+	// class is how the caller's node classifies the response for retries.
 	class retry.Class
 }
 
 const problemType = "application/problem+json"
 
-// rejectedRetryAfter is the advice where an upstream rejected a request: its
-// queue is short, so room comes soon.
+// rejectedRetryAfter is the advised retry delay after an upstream rejected a request.
+// It is short because an upstream's queue is short and soon has room.
 const rejectedRetryAfter = 150 * time.Millisecond
 
-// defaultRetryAfter is the advice where nothing better is known.
+// defaultRetryAfter is the advised retry delay if no better one is known.
 const defaultRetryAfter = time.Second
 
 func notRun(status int, class retry.Class, reason string, after time.Duration) *Problem {
@@ -84,8 +85,8 @@
 		Reason: reason, RetryAfterMs: defaultRetryAfter.Milliseconds(), class: retry.Ambiguous}
 }
 
-// refusedBy turns a verdict of admission into a problem.
-func refusedBy(v admission.Verdict) *Problem {
+// admissionProblem converts a verdict of admission into a problem.
+func admissionProblem(v admission.Verdict) *Problem {
 	status, class := http.StatusServiceUnavailable, retry.Limited
 	switch v.Reason {
 	case admission.ReasonRate, admission.ReasonConcurrency:
@@ -96,7 +97,7 @@
 	return notRun(status, class, string(v.Reason), v.RetryAfter)
 }
 
-// keyProblem turns a decision of the ledger into a problem.
+// keyProblem converts a decision of the ledger into a problem.
 func keyProblem(d ledger.Decision) *Problem {
 	p := &Problem{Status: http.StatusConflict, Reason: d.String(), class: retry.Answered}
 	switch d {
@@ -121,7 +122,7 @@
 	return p
 }
 
-// response builds the HTTP response of a problem.
+// response builds the HTTP response for a problem.
 func (p *Problem) response(req *http.Request) *http.Response {
 	body, err := json.Marshal(p)
 	if err != nil {
@@ -149,11 +150,11 @@
 	}
 }
 
-// classOf reads back how a response from an admitting node is to be counted.
-// Only a node writes headerClass; an upstream's is removed on the way.
+// classOf reads the retry class of a response from an admitting node. Only nodes set
+// headerClass; it is removed from upstreams' responses.
 func classOf(h http.Header) retry.Class {
 	return retry.ParseClass(h.Get(headerClass))
 }
 
-// headerClass tells the caller's node how to count a refusal.
+// headerClass holds the retry class of a refusal, for the caller's node.
 const headerClass = "Walldrift-Class"
--- a/internal/proxy/pool.go
+++ b/internal/proxy/pool.go
@@ -20,17 +20,17 @@
 
 // PoolConfig bounds a Pool.
 type PoolConfig struct {
-	// MaxConns is the most connections kept; the one idle longest is closed
-	// for a new one. Unit: connections; about 70 KB each. Default 128.
+	// MaxConns is the maximum number of connections, of about 70 KB each; the one that
+	// has been idle longest is closed to make room for a new one. Default 128.
 	MaxConns int
-	// IdleTimeout is how long an unused connection is kept. Longer saves
-	// handshakes, shorter saves memory and keep-alives. Default 30 s.
+	// IdleTimeout is how long an unused connection is kept. Longer saves handshakes,
+	// shorter saves memory and keep-alives. Default 30 s.
 	IdleTimeout time.Duration
 	// DialTimeout bounds one handshake. Default 1 s.
 	DialTimeout time.Duration
-	// DialFailureTTL is how long a failed handshake answers for the instance, so
-	// that requests to a dead node are refused at once in place of one after
-	// another waiting for it. Default 500 ms.
+	// DialFailureTTL is how long the result of a failed handshake is reused for the
+	// instance, so that requests to a dead node are refused at once instead of each
+	// waiting for a handshake. Default 500 ms.
 	DialFailureTTL time.Duration
 }
 
@@ -39,8 +39,8 @@
 	return PoolConfig{MaxConns: 128, IdleTimeout: 30 * time.Second, DialTimeout: time.Second, DialFailureTTL: 500 * time.Millisecond}
 }
 
-// Pool keeps the request connections of a node, opened on demand. It
-// implements Dispatcher.
+// Pool holds a node's request connections, which are opened on demand. It implements
+// Dispatcher.
 type Pool struct {
 	cfg    PoolConfig
 	dialer RequestDialer
@@ -51,28 +51,29 @@
 	conns map[string]*pooledConn
 }
 
-// pooledConn is a connection or one being opened.
+// pooledConn is a connection that is open or being opened.
 type pooledConn struct {
-	addr  netip.AddrPort
-	ready chan struct{} // closed when conn or err is set
-	conn  *http3.ClientConn
-	err   error
-	used  time.Time
-	busy  int
-	// failed is when the handshake failed, set before ready is closed.
-	failed time.Time
-}
-
-// NewPool returns an empty pool of the instance self.
+	addr     netip.AddrPort
+	ready    chan struct{} // closed when conn or err is set
+	conn     *http3.ClientConn
+	err      error
+	lastUsed time.Time
+	inUse    int
+	// failedAt is when the handshake ended, which counts if it failed. It is set before
+	// ready is closed.
+	failedAt time.Time
+}
+
+// NewPool returns an empty pool for the instance self.
 func NewPool(cfg PoolConfig, dialer RequestDialer, self string) *Pool {
 	return &Pool{cfg: cfg, dialer: dialer, self: self, conns: make(map[string]*pooledConn)}
 }
 
-// SetLocal sets the backend of this node, which gets the requests for self.
-// Call it before the first request.
+// SetLocal sets this node's backend, which gets the requests for self. It must be
+// called before the first request.
 func (p *Pool) SetLocal(local http.RoundTripper) { p.local = local }
 
-// TransportTo is described at Dispatcher.
+// TransportTo implements Dispatcher.
 func (p *Pool) TransportTo(ctx context.Context, in membership.Instance) (http.RoundTripper, error) {
 	if in.Name == p.self {
 		return p.local, nil
@@ -86,21 +87,21 @@
 	if c.err != nil {
 		return nil, c.err
 	}
-	return &pooledTripper{pool: p, c: c}, nil
+	return &pooledTransport{pool: p, c: c}, nil
 }
 
-// acquire returns the connection to an instance and begins to open one if
-// there is none that works.
+// acquire returns the connection to an instance, and starts to open one if there is no
+// working one.
 func (p *Pool) acquire(in membership.Instance) *pooledConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
-	if c, ok := p.conns[in.Name]; ok && c.addr == in.Peer && (!c.broken() || c.failedLately(now, p.cfg.DialFailureTTL)) {
-		c.used = now
+	if c, ok := p.conns[in.Name]; ok && c.addr == in.Peer && (!c.broken() || c.failedRecently(now, p.cfg.DialFailureTTL)) {
+		c.lastUsed = now
 		return c
 	}
-	p.makeRoom()
-	c := &pooledConn{addr: in.Peer, ready: make(chan struct{}), used: now}
+	p.evictIdle()
+	c := &pooledConn{addr: in.Peer, ready: make(chan struct{}), lastUsed: now}
 	p.conns[in.Name] = c
 	go p.open(in, c)
 	return c
@@ -110,39 +111,39 @@
 	ctx, cancel := context.WithTimeout(context.Background(), p.cfg.DialTimeout)
 	defer cancel()
 	c.conn, c.err = p.dialer.DialRequests(ctx, in.Name, in.Peer)
-	c.failed = time.Now()
+	c.failedAt = time.Now()
 	close(c.ready)
 }
 
-// failedLately reports whether the handshake failed within memory.
-func (c *pooledConn) failedLately(now time.Time, memory time.Duration) bool {
+// failedRecently reports whether the handshake failed within the last ttl.
+func (c *pooledConn) failedRecently(now time.Time, ttl time.Duration) bool {
 	select {
 	case <-c.ready:
-		return c.err != nil && now.Sub(c.failed) < memory
+		return c.err != nil && now.Sub(c.failedAt) < ttl
 	default:
 		return false
 	}
 }
 
-// makeRoom closes the connection idle longest if the pool is full. The lock is
-// held.
-func (p *Pool) makeRoom() {
+// evictIdle closes the connection that has been idle longest if the pool is full. The
+// lock must be held.
+func (p *Pool) evictIdle() {
 	if len(p.conns) < p.cfg.MaxConns {
 		return
 	}
 	oldest := ""
 	for name, c := range p.conns {
-		if c.busy == 0 && (oldest == "" || c.used.Before(p.conns[oldest].used)) {
+		if c.inUse == 0 && (oldest == "" || c.lastUsed.Before(p.conns[oldest].lastUsed)) {
 			oldest = name
 		}
 	}
 	if oldest != "" {
-		p.drop(oldest)
+		p.remove(oldest)
 	}
 }
 
-// drop closes and forgets a connection. The lock is held.
-func (p *Pool) drop(name string) {
+// remove closes a connection and removes it from the pool. The lock must be held.
+func (p *Pool) remove(name string) {
 	c := p.conns[name]
 	delete(p.conns, name)
 	go c.close()
@@ -155,7 +156,7 @@
 	}
 }
 
-// broken reports whether the connection has ended.
+// broken reports whether opening the connection failed or the connection has ended.
 func (c *pooledConn) broken() bool {
 	select {
 	case <-c.ready:
@@ -165,18 +166,18 @@
 	}
 }
 
-// Sweep closes connections that were unused for IdleTimeout. Call it now and
-// then.
+// Sweep closes connections that have been unused for IdleTimeout. It must be called
+// periodically.
 func (p *Pool) Sweep(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for name, c := range p.conns {
-		if c.broken() && !c.failedLately(now, p.cfg.DialFailureTTL) {
+		if c.broken() && !c.failedRecently(now, p.cfg.DialFailureTTL) {
 			delete(p.conns, name)
 			continue
 		}
-		if c.busy == 0 && now.Sub(c.used) > p.cfg.IdleTimeout {
-			p.drop(name)
+		if c.inUse == 0 && now.Sub(c.lastUsed) > p.cfg.IdleTimeout {
+			p.remove(name)
 		}
 	}
 }
@@ -193,34 +194,34 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for name := range p.conns {
-		p.drop(name)
+		p.remove(name)
 	}
 }
 
-func (p *Pool) addBusy(c *pooledConn, n int) {
+func (p *Pool) addInUse(c *pooledConn, n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	c.busy += n
-	c.used = time.Now()
+	c.inUse += n
+	c.lastUsed = time.Now()
 }
 
-// pooledTripper sends one request over a pooled connection.
-type pooledTripper struct {
+// pooledTransport sends one request over a pooled connection.
+type pooledTransport struct {
 	pool *Pool
 	c    *pooledConn
 }
 
 // RoundTrip sends the request once; nothing replays it.
-func (t *pooledTripper) RoundTrip(req *http.Request) (*http.Response, error) {
+func (t *pooledTransport) RoundTrip(req *http.Request) (*http.Response, error) {
 	if t.c.broken() {
 		return nil, errors.Wrap(ErrNotSent, "connection has ended")
 	}
-	t.pool.addBusy(t.c, 1)
+	t.pool.addInUse(t.c, 1)
 	resp, err := t.c.conn.RoundTrip(req)
 	if err != nil {
-		t.pool.addBusy(t.c, -1)
+		t.pool.addInUse(t.c, -1)
 		return nil, err
 	}
-	resp.Body = &endingBody{ReadCloser: resp.Body, want: -1, end: func(bool) { t.pool.addBusy(t.c, -1) }}
+	resp.Body = &trackedBody{ReadCloser: resp.Body, expected: -1, onEnd: func(bool) { t.pool.addInUse(t.c, -1) }}
 	return resp, nil
 }
--- a/internal/proxy/quarantine.go
+++ b/internal/proxy/quarantine.go
@@ -7,19 +7,19 @@
 	"github.com/walldrift/walldrift/internal/retry"
 )
 
-// Quarantine keeps requests that end the upstreams which run them from the others.
+// Quarantine stops requests that crash the upstreams that run them.
 type Quarantine interface {
-	// Check says whether a request may run at a service.
+	// Check returns whether a request may run at a service.
 	Check(r quarantine.Fingerprint, service string) quarantine.Verdict
-	// Start is Check for a request that is passed to an upstream now.
+	// Start is Check for a request that is about to be sent to an upstream.
 	Start(r quarantine.Fingerprint, service string) quarantine.Verdict
-	// Answered notes that an upstream of a service has answered a request.
+	// Answered records that an upstream of a service has answered a request.
 	Answered(r quarantine.Fingerprint, service string)
-	// Refused notes that a request was held back by a verdict.
+	// Refused records that a request was refused because of a verdict.
 	Refused(r quarantine.Fingerprint, service string, v quarantine.Verdict, about quarantine.RequestInfo)
 }
 
-// noQuarantine holds nothing back.
+// noQuarantine refuses nothing.
 type noQuarantine struct{}
 
 func (noQuarantine) Check(quarantine.Fingerprint, string) (v quarantine.Verdict) { return v }
@@ -28,22 +28,23 @@
 func (noQuarantine) Refused(quarantine.Fingerprint, string, quarantine.Verdict, quarantine.RequestInfo) {
 }
 
-// reasonQuarantined is given to a request that is held back, since upstreams ended
-// under it.
+// reasonQuarantined is the reason for refusing a request under which upstreams have
+// crashed.
 const reasonQuarantined = "quarantined"
 
-// holdBack refuses a request if a verdict says so. The advice is the time until it is
-// tried again, which the caller can do nothing about.
-func holdBack(q Quarantine, v quarantine.Verdict, env Envelope, req *http.Request) *Problem {
+// quarantineProblem returns a refusal if the verdict says that the request is
+// quarantined, otherwise nil. The advised retry delay is the time until the request is
+// probed again; the caller cannot shorten it.
+func quarantineProblem(q Quarantine, v quarantine.Verdict, env Envelope, req *http.Request) *Problem {
 	if !v.Held {
 		return nil
 	}
-	q.Refused(env.Fingerprint, env.Service, v, about(req, env.Tenant))
+	q.Refused(env.Fingerprint, env.Service, v, requestInfo(req, env.Tenant))
 	return notRun(http.StatusServiceUnavailable, retry.Refused, reasonQuarantined, v.After)
 }
 
-// about is what a caller asks for, but for the body.
-func about(req *http.Request, tenant string) quarantine.RequestInfo {
+// requestInfo describes a request without its body.
+func requestInfo(req *http.Request, tenant string) quarantine.RequestInfo {
 	return quarantine.RequestInfo{
 		Method: req.Method,
 		Host:   req.Host,
@@ -52,22 +53,22 @@
 	}
 }
 
-// heldBack refuses a request that is known to end upstreams, before it takes the way to
-// one.
-func (x *exchange) heldBack() *Problem {
-	q := x.f.cfg.Quarantine
-	return holdBack(q, q.Check(x.env.Fingerprint, x.env.Service), x.env, x.req)
+// refuseQuarantined refuses a quarantined request before it is forwarded.
+func (ex *exchange) refuseQuarantined() *Problem {
+	q := ex.f.cfg.Quarantine
+	return quarantineProblem(q, q.Check(ex.env.Fingerprint, ex.env.Service), ex.env, ex.req)
 }
 
-// heldBack refuses a request that is known to end upstreams, before it waits for a slot.
-func (c *backendCall) heldBack() *Problem {
+// refuseQuarantined refuses a quarantined request before it waits for a slot.
+func (c *backendCall) refuseQuarantined() *Problem {
 	q := c.b.cfg.Quarantine
-	return holdBack(q, q.Check(c.env.Fingerprint, c.env.Service), c.env, c.req)
+	return quarantineProblem(q, q.Check(c.env.Fingerprint, c.env.Service), c.env, c.req)
 }
 
-// heldAtStart is heldBack right before the upstream. What waited for a slot came before
-// the news of a fall: without this look each node passed on some more of them.
-func (c *backendCall) heldAtStart() *Problem {
+// refuseQuarantinedAtStart repeats the check right before the dispatch. Requests that
+// waited for a slot were checked before the crash was reported; without a second check
+// each node dispatched some more of them.
+func (c *backendCall) refuseQuarantinedAtStart() *Problem {
 	q := c.b.cfg.Quarantine
-	return holdBack(q, q.Start(c.env.Fingerprint, c.env.Service), c.env, c.req)
+	return quarantineProblem(q, q.Start(c.env.Fingerprint, c.env.Service), c.env, c.req)
 }
--- a/internal/proxy/receive_test.go
+++ b/internal/proxy/receive_test.go
@@ -19,7 +19,7 @@
 	"github.com/walldrift/walldrift/internal/snapshot"
 )
 
-// slowUpstream answers each request when its body is read, after 10 ms of work.
+// slowUpstream reads each request's body and answers after 10 ms of work.
 type slowUpstream struct{ bodies []string }
 
 func (s *slowUpstream) RoundTrip(r *http.Request) (*http.Response, error) {
@@ -33,10 +33,10 @@
 	}
 	s.bodies = append(s.bodies, body)
 	time.Sleep(10 * time.Millisecond)
-	return answer(r)
+	return respondOK(r)
 }
 
-// slowBody gives its bytes after a time, or an error in their place.
+// slowBody returns its bytes, or an error instead, after a delay.
 type slowBody struct {
 	after time.Duration
 	text  string
@@ -66,8 +66,9 @@
 	}, &snapshot.Holder{}, nil, NewMetrics(tally.NoopScope), time.Now())
 }
 
-// handOver sends a request as another node does, and returns its status.
-func handOver(ctx context.Context, b *Backend, body io.ReadCloser, length int64, env Envelope) (int, http.Header) {
+// forward sends a request as another node does, and returns the status and headers of
+// the response.
+func forward(ctx context.Context, b *Backend, body io.ReadCloser, length int64, env Envelope) (int, http.Header) {
 	r := httptest.NewRequestWithContext(ctx, http.MethodPost, "/x", nil)
 	r.Body, r.ContentLength = body, length
 	env.Kind, env.KindWeight, env.Timeout = "upload", 1, 5*time.Second
@@ -77,64 +78,64 @@
 	return w.Code, w.Header()
 }
 
-const longBody = 20 << 10
+const longBodySize = 20 << 10
 
-func long(after time.Duration) *slowBody {
-	return &slowBody{after: after, text: strings.Repeat("x", longBody)}
+func slowLongBody(after time.Duration) *slowBody {
+	return &slowBody{after: after, text: strings.Repeat("x", longBodySize)}
 }
 
-// A body that comes slowly holds no slot: a short request behind it is served
-// meanwhile, and the body reaches the upstream whole.
+// A body that arrives slowly occupies no slot: a short request behind it is served
+// meanwhile, and the upstream gets the body complete.
 func TestSlowBodyHoldsNoSlot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		up := &slowUpstream{}
 		b := receivingBackend(up)
 		done := make(chan int, 1)
 		go func() {
-			status, _ := handOver(t.Context(), b, long(500*time.Millisecond), longBody, Envelope{NoWait: true})
+			status, _ := forward(t.Context(), b, slowLongBody(500*time.Millisecond), longBodySize, Envelope{NoWait: true})
 			done <- status
 		}()
 		time.Sleep(100 * time.Millisecond)
-		status, _ := handOver(t.Context(), b, nil, 0, Envelope{NoWait: true})
+		status, _ := forward(t.Context(), b, nil, 0, Envelope{NoWait: true})
 		assert.Equal(t, status, http.StatusOK)
 		assert.Equal(t, <-done, http.StatusOK)
-		assert.Equal(t, len(up.bodies[1]), longBody)
+		assert.Equal(t, len(up.bodies[1]), longBodySize)
 		assert.Equal(t, b.Load().InUse, 0)
 	})
 }
 
-// A body for which there is no turn in time stays with its sender, who is told
-// that the request did not run and how long the next one may wait.
-func TestBodiesAreReceivedInTurn(t *testing.T) {
+// A body that cannot be received in time, because another one is being received, is not
+// read. The sender is told that its request did not run.
+func TestBodyReceivesAreLimited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		up := &slowUpstream{}
 		b := receivingBackend(up)
 		done := make(chan int, 1)
 		go func() {
-			status, _ := handOver(t.Context(), b, long(time.Second), longBody, Envelope{})
+			status, _ := forward(t.Context(), b, slowLongBody(time.Second), longBodySize, Envelope{})
 			done <- status
 		}()
 		time.Sleep(100 * time.Millisecond)
-		began := time.Now()
-		status, header := handOver(t.Context(), b, long(0), longBody, Envelope{Objective: &ObjectiveState{Left: 50 * time.Millisecond}})
+		start := time.Now()
+		status, header := forward(t.Context(), b, slowLongBody(0), longBodySize, Envelope{Objective: &ObjectiveState{Left: 50 * time.Millisecond}})
 		assert.Equal(t, status, http.StatusServiceUnavailable)
 		assert.Equal(t, header.Get(HeaderOutcome), string(OutcomeNotRun))
 		assert.Equal(t, header.Get(HeaderReason), string(admission.ReasonBusy))
-		assert.Equal(t, time.Since(began), 50*time.Millisecond)
+		assert.Equal(t, time.Since(start), 50*time.Millisecond)
 		assert.Equal(t, <-done, http.StatusOK)
 		assert.Equal(t, len(up.bodies), 1)
 	})
 }
 
-// A body that breaks off reaches no upstream and frees its turn.
-func TestCutBodyIsNotRun(t *testing.T) {
+// A truncated body reaches no upstream and frees its place in the receive limiter.
+func TestTruncatedBodyIsNotRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		up := &slowUpstream{}
 		b := receivingBackend(up)
-		status, header := handOver(t.Context(), b, &slowBody{err: io.ErrUnexpectedEOF}, longBody, Envelope{})
+		status, header := forward(t.Context(), b, &slowBody{err: io.ErrUnexpectedEOF}, longBodySize, Envelope{})
 		assert.Equal(t, status, http.StatusServiceUnavailable)
 		assert.Equal(t, header.Get(HeaderOutcome), string(OutcomeNotRun))
-		status, _ = handOver(t.Context(), b, long(0), longBody, Envelope{})
+		status, _ = forward(t.Context(), b, slowLongBody(0), longBodySize, Envelope{})
 		assert.Equal(t, status, http.StatusOK)
 		assert.Equal(t, len(up.bodies), 1)
 	})
--- a/internal/proxy/record.go
+++ b/internal/proxy/record.go
@@ -10,60 +10,62 @@
 	"github.com/walldrift/walldrift/internal/version"
 )
 
-// Record tells how a caller's request was decided, for logs.
+// Record describes how a caller's request was handled, for logs.
 type Record struct {
-	ID         string // as the caller sent it
+	ID         string // sent by the caller
 	Kind       string
 	Service    string
 	Route      string
-	Version    version.ID // of the table in force when it came
+	Version    version.ID // of the table in force when the request arrived
 	Status     int
 	Outcome    string
-	Reason     string // of an answer that a node made; empty for an upstream's
+	Reason     string // of a response that a node made; empty for an upstream's
 	NotRetried retry.Reason
 	Took       time.Duration
-	Deadline   time.Duration // given to it, from its coming
-	// Age is the time since the caller's first attempt came, when this one did.
+	Deadline   time.Duration // the request's timeout, from its arrival
+	// Age is the time from the arrival of the caller's first attempt to that of this
+	// one.
 	Age time.Duration
-	// Late says that it was taken for more likely late than not.
+	// Late says that the request was expected to miss its objective deadline.
 	Late bool
-	// Staleness is how old the news of the upstreams were when it ended.
+	// Staleness is the staleness of the known upstreams when the request ended.
 	Staleness time.Duration
 	Cut       CutRecord
 	Tries     []TryRecord
 	// Fingerprint is the same for all attempts of a request.
 	Fingerprint quarantine.Fingerprint
-	// Leaving is set for a request that a leaving node took, refused or cut.
+	// Leaving is set for a request that this node accepted, refused or cut during its
+	// shutdown.
 	Leaving *ShutdownRecord
 }
 
-// TryRecord is one try of a request.
+// TryRecord describes one try of a request.
 type TryRecord struct {
 	Upstream string
-	At       time.Duration // since the request came
+	At       time.Duration // from the request's arrival
 	Took     time.Duration
 	Class    retry.Class
 	Status   int
 	Reason   string
-	// Load is what the admitting node said: in use/slots/waiting.
+	// Load is the admitting node's load report, which starts with in use/slots/waiting.
 	Load string
 }
 
-// Recorder takes records. It must not block, and keeps nothing of the record.
+// Recorder receives records. It must not block or retain the record.
 type Recorder func(*Record)
 
-// slowShare is the part of its objective from which a served request counts as
-// slow and is recorded.
+// slowShare is the fraction of its objective that a served request must exceed to count
+// as slow and be recorded.
 const slowShare = 1.0
 
-// noteTry adds a try to the record.
-func (x *exchange) noteTry(upstream string, sent time.Time, class retry.Class, resp *http.Response) {
-	if x.f.cfg.Record == nil {
+// recordTry adds a try to the request's record.
+func (ex *exchange) recordTry(upstream string, sent time.Time, class retry.Class, resp *http.Response) {
+	if ex.f.cfg.Record == nil {
 		return
 	}
-	x.trail = append(x.trail, TryRecord{
+	ex.tryRecords = append(ex.tryRecords, TryRecord{
 		Upstream: upstream,
-		At:       sent.Sub(x.start),
+		At:       sent.Sub(ex.start),
 		Took:     clock.Since(sent),
 		Class:    class,
 		Status:   resp.StatusCode,
@@ -72,35 +74,36 @@
 	})
 }
 
-// record hands a request over that failed, was refused, tried again or slow.
-func (x *exchange) record(status int, outcome, reason string) {
-	if x.f.cfg.Record == nil {
+// record passes a request that failed, was refused, was retried or was slow to the
+// recorder.
+func (ex *exchange) record(status int, outcome, reason string) {
+	if ex.f.cfg.Record == nil {
 		return
 	}
-	took := clock.Since(x.start)
-	slow := x.route.Objective > 0 && took > time.Duration(slowShare*float64(x.route.Objective))
-	if status < http.StatusInternalServerError && outcome == outcomeNames[0] && x.tries <= 1 && !slow && !x.leaving.notable() {
+	took := clock.Since(ex.start)
+	slow := ex.route.Objective > 0 && took > time.Duration(slowShare*float64(ex.route.Objective))
+	if status < http.StatusInternalServerError && outcome == outcomeNames[0] && ex.tries <= 1 && !slow && !ex.shutdown.notable() {
 		return
 	}
-	x.f.cfg.Record(&Record{
-		ID:         x.req.Header.Get(x.f.cfg.Dialect.RequestID),
-		Kind:       x.kind,
-		Service:    x.service.Name,
-		Route:      x.route.Name,
-		Version:    x.version,
+	ex.f.cfg.Record(&Record{
+		ID:         ex.req.Header.Get(ex.f.cfg.Dialect.RequestID),
+		Kind:       ex.kind,
+		Service:    ex.service.Name,
+		Route:      ex.route.Name,
+		Version:    ex.version,
 		Status:     status,
 		Outcome:    outcome,
 		Reason:     reason,
-		NotRetried: x.ended,
+		NotRetried: ex.notRetriedReason,
 		Took:       took,
-		Deadline:   x.deadline.Sub(x.start),
-		Age:        x.start.Sub(x.first),
-		Late:       x.env.late(),
-		Staleness:  x.f.cfg.Staleness(clock.Now()),
-		Cut:        x.cut,
-		Tries:      x.trail,
+		Deadline:   ex.deadline.Sub(ex.start),
+		Age:        ex.start.Sub(ex.firstAttempt),
+		Late:       ex.env.late(),
+		Staleness:  ex.f.cfg.Staleness(clock.Now()),
+		Cut:        ex.cut,
+		Tries:      ex.tryRecords,
 
-		Fingerprint: x.env.Fingerprint,
-		Leaving:     x.leaving,
+		Fingerprint: ex.env.Fingerprint,
+		Leaving:     ex.shutdown,
 	})
 }
--- a/internal/proxy/remote.go
+++ b/internal/proxy/remote.go
@@ -14,10 +14,10 @@
 	"github.com/walldrift/walldrift/internal/retry"
 )
 
-// withAdmitted arranges for f to be called when the admitting node, local or
-// remote, says that the request is admitted.
+// withAdmitted arranges for f to be called when the admitting node, local or remote,
+// signals that it has admitted the request.
 func withAdmitted(ctx context.Context, f func()) context.Context {
-	ctx = context.WithValue(ctx, admittedHook{}, f)
+	ctx = context.WithValue(ctx, admissionHookKey{}, f)
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		Got1xxResponse: func(code int, _ textproto.MIMEHeader) error {
 			if code == http.StatusEarlyHints || code == http.StatusContinue {
@@ -28,7 +28,7 @@
 	})
 }
 
-// sendFailure classifies an error of the hand-over to another node.
+// sendFailure classifies an error of forwarding a request to another node.
 func sendFailure(ctx context.Context, err error) *Problem {
 	var h3 *http3.Error
 	if errors.As(err, &h3) && h3.Remote && h3.ErrorCode == http3.ErrCodeRequestRejected {
@@ -41,42 +41,42 @@
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return unknownOutcome(http.StatusGatewayTimeout, reasonDeadline)
 	}
-	return unknownOutcome(http.StatusBadGateway, reasonLost)
+	return unknownOutcome(http.StatusBadGateway, reasonConnectionLost)
 }
 
-// notSentReason says why nothing was sent: its time was over, by the state of the
-// request's context, or what is given. A dial that takes too long is no such case,
-// though its error looks like one.
-func notSentReason(ended error, otherwise string) string {
-	if errors.Is(ended, context.DeadlineExceeded) {
+// notSentReason returns why nothing was sent: the deadline if the request's context has
+// exceeded it, otherwise fallback. A dial timeout is not the request's deadline,
+// although its error looks alike.
+func notSentReason(ctxErr error, fallback string) string {
+	if errors.Is(ctxErr, context.DeadlineExceeded) {
 		return reasonDeadline
 	}
-	return otherwise
+	return fallback
 }
 
-// ErrNotSent marks errors of a RoundTripper that happened before anything of
-// the request was sent.
+// ErrNotSent marks errors of a RoundTripper that occurred before any part of the
+// request was sent.
 var ErrNotSent = errors.New("nothing was sent")
 
-// PeerHandler serves the requests that other nodes hand over.
+// PeerHandler serves the requests that other nodes forward.
 type PeerHandler struct {
 	backend *Backend
 	claims  http.Handler
 }
 
-// NewPeerHandler returns the handler of a backend's node.
+// NewPeerHandler returns the handler for requests to a backend.
 func NewPeerHandler(b *Backend) *PeerHandler {
 	return &PeerHandler{backend: b, claims: claimHandler{b}}
 }
 
-// ServeHTTP answers a request of another node.
+// ServeHTTP serves a request of another node.
 func (p *PeerHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.Header.Get(headerClaim) != "" {
 		p.claims.ServeHTTP(w, r)
 		return
 	}
 	hook := func() { w.WriteHeader(http.StatusEarlyHints) }
-	resp := p.backend.admit(r.WithContext(context.WithValue(r.Context(), admittedHook{}, hook)), true)
+	resp := p.backend.admit(r.WithContext(context.WithValue(r.Context(), admissionHookKey{}, hook)), true)
 	h := w.Header()
 	for name, values := range resp.Header {
 		h[name] = values
@@ -85,10 +85,10 @@
 	_, err := copyBody(w, resp.Body)
 	_ = resp.Body.Close()
 	if err != nil {
-		// Resets the stream, so that the answer does not look whole.
+		// Resets the stream, so that the response does not look complete.
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// claimTimeout bounds the question to an earlier home.
+// claimTimeout bounds a claim sent to an earlier owner.
 const claimTimeout = 500 * time.Millisecond
--- a/internal/proxy/answer.go
+++ b/internal/proxy/response.go
@@ -9,19 +9,19 @@
 	"github.com/cockroachdb/errors"
 )
 
-// maxForwarded is the most bytes copied at once.
-const maxForwarded = 32 << 10
+// copyBufferSize is the maximum number of bytes copied at once.
+const copyBufferSize = 32 << 10
 
-// copyPool holds buffers for copying answers.
-var copyPool = sync.Pool{New: func() any { b := make([]byte, maxForwarded); return &b }}
+// copyBuffers holds buffers for copying responses.
+var copyBuffers = sync.Pool{New: func() any { b := make([]byte, copyBufferSize); return &b }}
 
-// copyResponse sends an answer, and returns how many bytes of its body were passed
-// on. An error means that it was cut.
+// copyResponse sends a response and returns how many bytes of its body were forwarded.
+// An error means that the response was truncated.
 func copyResponse(w http.ResponseWriter, resp *http.Response) (int64, error) {
 	defer func() { _ = resp.Body.Close() }()
 	h := w.Header()
 	for name, values := range resp.Header {
-		if strings.HasPrefix(name, headerPrefix) && !forCallers(name) {
+		if strings.HasPrefix(name, headerPrefix) && !sentToCallers(name) {
 			continue
 		}
 		h[name] = values
@@ -30,17 +30,17 @@
 	return copyBody(w, resp.Body)
 }
 
-// copyBody copies an answer's body, sending each part on as it comes, and returns
-// how many bytes it passed on. Errors of writing are errCallerLeft.
+// copyBody copies a response body, flushing each part as it arrives, and returns the
+// number of bytes forwarded. Write errors are marked errCallerDisconnected.
 func copyBody(w http.ResponseWriter, body io.Reader) (sent int64, err error) {
-	buf := copyPool.Get().(*[]byte)
-	defer copyPool.Put(buf)
+	buf := copyBuffers.Get().(*[]byte)
+	defer copyBuffers.Put(buf)
 	flusher, _ := w.(http.Flusher)
 	for {
 		n, err := body.Read(*buf)
 		if n > 0 {
 			if _, werr := w.Write((*buf)[:n]); werr != nil {
-				return sent, errors.Mark(werr, errCallerLeft)
+				return sent, errors.Mark(werr, errCallerDisconnected)
 			}
 			sent += int64(n)
 		}
@@ -56,8 +56,8 @@
 	}
 }
 
-// forCallers reports whether a header of the project is meant for callers.
-func forCallers(name string) bool {
+// sentToCallers reports whether one of the project's headers is meant for callers.
+func sentToCallers(name string) bool {
 	switch name {
 	case HeaderOutcome, HeaderReason, HeaderRetryAfterMs, HeaderServedBy, headerReplayed:
 		return true
--- a/internal/proxy/restart.go
+++ b/internal/proxy/restart.go
@@ -6,38 +6,40 @@
 	"github.com/walldrift/walldrift/internal/overload"
 )
 
-// life is one life of the upstream beside a node, from a start to the next.
-type life struct {
-	ctx context.Context
-	end context.CancelFunc
+// processLifetime is the lifetime of one process of the upstream, from one start to the
+// next.
+type processLifetime struct {
+	ctx    context.Context
+	cancel context.CancelFunc
 }
 
-func newLife() *life {
-	ctx, end := context.WithCancel(context.Background())
-	return &life{ctx: ctx, end: end}
+func newProcessLifetime() *processLifetime {
+	ctx, cancel := context.WithCancel(context.Background())
+	return &processLifetime{ctx: ctx, cancel: cancel}
 }
 
-// UpstreamRestarted notes that the upstream has started again under its name. What it was
-// sent before may have run and gets no answer any more: it ends at once as such and
-// gives its slot back, where on a connection that fell silent it would hold it until
-// its deadline. What waits for a slot has not run and goes to the new process, of
-// which nothing is known yet.
+// UpstreamRestarted records that the upstream has started again under the same name.
+// Requests sent to the earlier process may have run and will get no response. They end
+// at once with an unknown outcome and release their slots; on a connection without any
+// traffic they would hold them until their deadlines. Requests that wait for a slot
+// have not run and go to the new process, of which no run times or response sizes are
+// known yet.
 func (b *Backend) UpstreamRestarted() {
-	b.falls.fell()
-	b.life.Swap(newLife()).end()
-	b.denied.Store(nil)
+	b.detector.recordCrash()
+	b.lifetime.Swap(newProcessLifetime()).cancel()
+	b.deniedTarget.Store(nil)
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.runs, b.sizes = overload.NewRunTimes(), overload.NewResponseSizes()
+	b.runTimes, b.responseSizes = overload.NewRunTimes(), overload.NewResponseSizes()
 }
 
-// UpstreamReplaced notes that another process is published at the upstream's address. One that
-// lost connections a short while ago has ended, though it is too late to see it: this
-// process stood still meanwhile.
-func (b *Backend) UpstreamReplaced() { b.falls.fell() }
+// UpstreamReplaced records that another process is listed at the upstream's address. If
+// connections to the earlier process broke shortly before, it has crashed, although
+// probing can no longer show that: this node was paused while the upstream was down.
+func (b *Backend) UpstreamReplaced() { b.detector.recordCrash() }
 
-// withLife ends a call with the life of the upstream to which it is sent, until
+// bindToLifetime cancels a call when the process to which it is sent ends, until
 // release is called.
-func (b *Backend) withLife(cancel context.CancelFunc) (release func() bool) {
-	return context.AfterFunc(b.life.Load().ctx, cancel)
+func (b *Backend) bindToLifetime(cancel context.CancelFunc) (release func() bool) {
+	return context.AfterFunc(b.lifetime.Load().ctx, cancel)
 }
--- a/internal/proxy/send.go
+++ b/internal/proxy/send.go
@@ -11,110 +11,111 @@
 	"github.com/walldrift/walldrift/internal/overload"
 )
 
-// sendFrom is the length of an answer from which it waits for its turn on the
-// link, in bytes: shorter ones go out with a packet or a few.
-const sendFrom = 8 << 10
+// sendThreshold is the response length, in bytes, from which a response waits for the
+// send limiter. Shorter ones fit into a few packets.
+const sendThreshold = 8 << 10
 
-// answerLimit is the longest answer that is read to its end now.
-func (b *Backend) answerLimit() int64 {
-	if b.sender == nil || b.kept.Load() >= b.cfg.SendBufferTotal {
+// responseBufferLimit returns the longest response that is buffered now, in bytes.
+func (b *Backend) responseBufferLimit() int64 {
+	if b.sendLimiter == nil || b.sendBuffered.Load() >= b.cfg.SendBufferTotal {
 		return b.cfg.ResponseBufferLimit
 	}
 	return max(b.cfg.SendBufferLimit, b.cfg.ResponseBufferLimit)
 }
 
-// inTurn returns the answer's body such that a long one to another node waits for
-// its turn on the link.
-func (c *backendCall) inTurn(resp *http.Response) io.ReadCloser {
-	if c.b.sender == nil {
+// limitSend returns the response's body; that of a long response to another node waits
+// for the send limiter.
+func (c *backendCall) limitSend(resp *http.Response) io.ReadCloser {
+	if c.b.sendLimiter == nil {
 		return resp.Body
 	}
 	length := resp.ContentLength
-	c.b.learnSize(c.env.Kind, length)
-	if !c.remote || length < sendFrom {
+	c.b.observeResponseSize(c.env.Kind, length)
+	if !c.remote || length < sendThreshold {
 		return resp.Body
 	}
-	c.b.kept.Add(length)
-	return &sentBody{ReadCloser: resp.Body, c: c, length: length}
+	c.b.sendBuffered.Add(length)
+	return &limitedSend{ReadCloser: resp.Body, c: c, length: length}
 }
 
-// sentBody is a long answer that takes a place on the link with its first byte.
-type sentBody struct {
+// limitedSend is the body of a long response. It takes a slot of the send limiter when
+// it is first read.
+type limitedSend struct {
 	io.ReadCloser
-	c      *backendCall
-	length int64
-	began  time.Time // when it got its place; zero before
-	failed error
-	ended  bool
+	c         *backendCall
+	length    int64
+	sendStart time.Time // when it got its slot; zero before
+	err       error
+	closed    bool
 }
 
-// Read waits for a place before it gives the first byte.
-func (s *sentBody) Read(p []byte) (int, error) {
-	if s.began.IsZero() && s.failed == nil {
-		s.enter()
+// Read waits for a slot of the send limiter before it returns the first byte.
+func (s *limitedSend) Read(p []byte) (int, error) {
+	if s.sendStart.IsZero() && s.err == nil {
+		s.acquire()
 	}
-	if s.failed != nil {
-		return 0, s.failed
+	if s.err != nil {
+		return 0, s.err
 	}
 	return s.ReadCloser.Read(p)
 }
 
-func (s *sentBody) enter() {
-	left := clock.Until(s.c.start.Add(s.c.env.Timeout))
-	if !s.c.b.sender.enter(s.c.req.Context(), left) {
-		s.failed = context.DeadlineExceeded
+func (s *limitedSend) acquire() {
+	remaining := clock.Until(s.c.start.Add(s.c.env.Timeout))
+	if !s.c.b.sendLimiter.acquire(s.c.req.Context(), remaining) {
+		s.err = context.DeadlineExceeded
 		return
 	}
-	s.began = clock.Now()
+	s.sendStart = clock.Now()
 }
 
-// Close gives the place back.
-func (s *sentBody) Close() error {
-	if !s.ended {
-		s.ended = true
-		s.c.b.kept.Add(-s.length)
-		if !s.began.IsZero() {
-			s.c.b.sender.leave(clock.Since(s.began))
+// Close releases the slot.
+func (s *limitedSend) Close() error {
+	if !s.closed {
+		s.closed = true
+		s.c.b.sendBuffered.Add(-s.length)
+		if !s.sendStart.IsZero() {
+			s.c.b.sendLimiter.release(clock.Since(s.sendStart))
 		}
 	}
 	return s.ReadCloser.Close()
 }
 
-// learnSize takes the length of an answer into those of its kind; negative
-// lengths are not known.
-func (b *Backend) learnSize(kind string, length int64) {
+// observeResponseSize adds a response's length to the statistics of its kind. A
+// negative length is unknown and ignored.
+func (b *Backend) observeResponseSize(kind string, length int64) {
 	if length < 0 {
 		return
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.sizes.Observe(kind, length)
+	b.responseSizes.Observe(kind, length)
 }
 
-// sendWait is how long an answer of the kind is expected to wait for its turn on
-// the link.
-func (b *Backend) sendWait(kind string) time.Duration {
-	if b.sender == nil {
+// expectedSendWait returns how long a response of the kind is expected to wait for the
+// send limiter.
+func (b *Backend) expectedSendWait(kind string) time.Duration {
+	if b.sendLimiter == nil {
 		return 0
 	}
 	b.mu.Lock()
-	size := b.sizes.Mean(kind)
+	size := b.responseSizes.Mean(kind)
 	b.mu.Unlock()
-	if size < sendFrom {
+	if size < sendThreshold {
 		return 0
 	}
-	return b.sender.wait()
+	return b.sendLimiter.expectedWait()
 }
 
-// linkFull refuses a request whose answer would wait for the link past the
-// objective, before it takes a slot.
-func (c *backendCall) linkFull() *Problem {
+// refuseFullLink refuses a request whose response would wait for the link beyond the
+// objective deadline, before the request takes a slot.
+func (c *backendCall) refuseFullLink() *Problem {
 	if !c.remote || c.env.Objective == nil {
 		return nil
 	}
-	wait := c.b.sendWait(c.env.Kind)
-	if wait == 0 || wait+c.b.runTime(c.env.Kind, overload.SafeRunQuantile) <= c.env.Objective.Left {
+	wait := c.b.expectedSendWait(c.env.Kind)
+	if wait == 0 || wait+c.b.runTimeQuantile(c.env.Kind, overload.SafeRunQuantile) <= c.env.Objective.Left {
 		return nil
 	}
-	return refusedBy(admission.Verdict{Reason: admission.ReasonLink, RetryAfter: wait})
+	return admissionProblem(admission.Verdict{Reason: admission.ReasonLink, RetryAfter: wait})
 }
--- a/internal/proxy/stall_test.go
+++ b/internal/proxy/stall_test.go
@@ -16,16 +16,16 @@
 	"github.com/walldrift/walldrift/internal/retry"
 )
 
-// A node that stood still until the time of a request was over refused it as one
-// whose upstream's node was "unreachable" or whose upstream refused the connection.
-// Nothing was wrong with either: nothing was sent, as there was no time left, and the
-// reason says so, where it stands in lines and counts.
-func TestRefusalAfterAStallNamesTheTime(t *testing.T) {
+// Guards against a misleading refusal reason: a node that was paused until a request's
+// deadline had passed refused it as "unreachable" or as refused by the upstream,
+// although both worked. Nothing was sent because no time was left, and the reason in
+// logs and metrics must say so.
+func TestRefusalAfterStallNamesDeadline(t *testing.T) {
 	notSent := func(r *http.Request) (*http.Response, error) {
 		<-r.Context().Done()
 		return nil, errors.Mark(r.Context().Err(), http1.ErrNotSent)
 	}
-	t.Run("at the entry", func(t *testing.T) {
+	t.Run("at the caller's node", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			s := &scripted{script: []func(*http.Request) (*http.Response, error){notSent}}
 			w := serve(t, s, http.MethodPost, "/payments/x")
@@ -35,17 +35,17 @@
 			assert.Equal(t, len(s.seen), 1)
 		})
 	})
-	t.Run("beside the upstream", func(t *testing.T) {
+	t.Run("at the upstream's node", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			_, header := handOver(t.Context(), receivingBackend(tripFunc(notSent)), nil, 0, Envelope{})
+			_, header := forward(t.Context(), receivingBackend(roundTripFunc(notSent)), nil, 0, Envelope{})
 			assert.Equal(t, header.Get(HeaderOutcome), string(OutcomeNotRun))
 			assert.Equal(t, header.Get(HeaderReason), reasonDeadline)
 		})
 	})
 }
 
-// A node that can't be reached in time is still one that was not reached.
-func TestUnreachableIsNoMatterOfTime(t *testing.T) {
+// A failed connection keeps its own reason while the deadline has not passed.
+func TestUnreachableIsNotDeadline(t *testing.T) {
 	s := &scripted{script: []func(*http.Request) (*http.Response, error){func(*http.Request) (*http.Response, error) {
 		return nil, errors.Mark(errors.New("connection refused"), http1.ErrNotSent)
 	}}}
@@ -54,20 +54,20 @@
 	assert.Equal(t, w.Header().Get(HeaderReason), reasonUnreachable)
 }
 
-// An answer that was taken late is passed on: its request has run.
-func TestAnswerThatCameLateIsPassedOn(t *testing.T) {
+// A response that arrives after the deadline is forwarded, since its request has run.
+func TestLateResponseIsForwarded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		late := func(r *http.Request) (*http.Response, error) {
 			<-r.Context().Done()
 			time.Sleep(time.Second)
-			return answer(r)
+			return respondOK(r)
 		}
 		s := &scripted{script: []func(*http.Request) (*http.Response, error){late}}
 		w := serve(t, s, http.MethodPost, "/payments/x")
 		assert.Equal(t, w.Code, http.StatusOK)
 		assert.Equal(t, w.Body.String(), "ok")
 		assert.Equal(t, len(s.seen), 1)
-		b := receivingBackend(tripFunc(late))
+		b := receivingBackend(roundTripFunc(late))
 		b.cfg.ResponseBufferLimit = 100
 		r := httptest.NewRequest(http.MethodPost, "/x", nil)
 		Envelope{Kind: "k", KindWeight: 1, Timeout: time.Second}.write(r.Header)
@@ -77,31 +77,31 @@
 	})
 }
 
-// A request whose body lies in the kernel when its time is over is refused as one
-// that has not run, which is true.
-func TestBodyOfARequestWhoseTimeIsOverIsRefused(t *testing.T) {
-	reached := false
+// A request whose body is still in the kernel's buffer when its deadline passes has not
+// run and is refused as such.
+func TestBodyReadAfterDeadlineIsRefused(t *testing.T) {
+	dispatched := false
 	s := &scripted{script: []func(*http.Request) (*http.Response, error){func(r *http.Request) (*http.Response, error) {
-		reached = true
-		return answer(r)
+		dispatched = true
+		return respondOK(r)
 	}}}
 	f := newTestFrontend(t, FrontendConfig{Retry: retry.DefaultPolicy()}, everyMember, s)
 	f.cfg.Dialect.Deadline = "Deadline"
-	f.ready = func() bool { time.Sleep(50 * time.Millisecond); return true } // the stall
+	f.ready = func() bool { time.Sleep(50 * time.Millisecond); return true } // a process pause
 	server := startCallerServer(t, f)
 	resp := post(t, server, make([]byte, 16<<10), http.Header{"Deadline": {"20"}})
 	assert.Equal(t, resp.StatusCode, http.StatusRequestTimeout)
 	assert.Equal(t, resp.Header.Get(HeaderOutcome), string(OutcomeNotRun))
 	assert.Equal(t, resp.Header.Get(HeaderReason), reasonDeadline)
-	assert.Assert(t, !reached)
+	assert.Assert(t, !dispatched)
 }
 
-// tripFunc is a way to an upstream.
-type tripFunc func(*http.Request) (*http.Response, error)
+// roundTripFunc is a transport made of a function.
+type roundTripFunc func(*http.Request) (*http.Response, error)
 
-func (f tripFunc) RoundTrip(r *http.Request) (*http.Response, error) { return f(r) }
+func (f roundTripFunc) RoundTrip(r *http.Request) (*http.Response, error) { return f(r) }
 
-// startCallerServer serves callers, and returns its address.
+// startCallerServer starts a server for callers and returns its address.
 func startCallerServer(t *testing.T, h http.Handler) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -112,7 +112,7 @@
 	return l.Addr().String()
 }
 
-// post sends a request with its body, and returns the head of the answer.
+// post sends a request with a body and returns the response.
 func post(t *testing.T, addr string, body []byte, header http.Header) *http.Response {
 	t.Helper()
 	req, err := http.NewRequestWithContext(t.Context(), http.MethodPost, "http://"+addr+"/payments/x", bytes.NewReader(body))
--- a/internal/proxy/suspended_test.go
+++ b/internal/proxy/suspended_test.go
@@ -12,24 +12,26 @@
 	"github.com/walldrift/walldrift/internal/clock"
 )
 
-// suspension is how long the machine of a test stands still.
-const suspension = 3 * time.Second
+// suspensionTime is how long the test's machine is suspended.
+const suspensionTime = 3 * time.Second
 
-// heldUpstream answers when it is told to, and keeps the deadlines that it was given.
-type heldUpstream struct {
-	answers   chan struct{}
+// gatedUpstream answers when the test releases a request, and keeps the deadlines it
+// was given.
+type gatedUpstream struct {
+	release   chan struct{}
 	deadlines []int
 }
 
-func (u *heldUpstream) RoundTrip(r *http.Request) (*http.Response, error) {
+func (u *gatedUpstream) RoundTrip(r *http.Request) (*http.Response, error) {
 	ms, _ := strconv.Atoi(r.Header.Get(DefaultDialect().Deadline))
 	u.deadlines = append(u.deadlines, ms)
-	<-u.answers
-	return answer(r)
+	<-u.release
+	return respondOK(r)
 }
 
-// handOverWithin hands a request over that has some time, and sends its status.
-func handOverWithin(t *testing.T, b *Backend, timeout time.Duration, status chan<- int) {
+// forwardWithTimeout sends a request with a timeout to the backend, and sends its
+// status to a channel.
+func forwardWithTimeout(t *testing.T, b *Backend, timeout time.Duration, status chan<- int) {
 	r, err := http.NewRequestWithContext(t.Context(), http.MethodPost, "/x", nil)
 	assert.Check(t, err)
 	Envelope{Kind: "k", KindWeight: 1, Timeout: timeout}.write(r.Header)
@@ -39,30 +41,31 @@
 	status <- resp.StatusCode
 }
 
-// A machine was suspended for 3 s while a request waited for its slot. By the steady
-// clock it still had 7.9 of its 8 s, and its upstream was given these for an answer that
-// its caller gave up on after 4.9. One that had 2 s was run, too, a second after its
-// caller had given up.
-func TestDeadlinesCountASuspension(t *testing.T) {
+// Guards against deadlines that ignore a suspension of the machine, as measured by the
+// steady clock, which stands still meanwhile. After 3 s of suspension a request that
+// waited for its slot still had 7.9 of its 8 s by that clock and its upstream was given
+// as much, although its caller gave up after 4.9 s. A request with a timeout of 2 s was
+// run 1 s after its caller had given up.
+func TestDeadlinesIncludeSuspension(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		up := &heldUpstream{answers: make(chan struct{})}
+		up := &gatedUpstream{release: make(chan struct{})}
 		b := receivingBackend(up)
 		first, second, third := make(chan int, 1), make(chan int, 1), make(chan int, 1)
-		go handOverWithin(t, b, 10*time.Second, first)
+		go forwardWithTimeout(t, b, 10*time.Second, first)
 		synctest.Wait()
-		go handOverWithin(t, b, 8*time.Second, second)
+		go forwardWithTimeout(t, b, 8*time.Second, second)
 		synctest.Wait()
-		go handOverWithin(t, b, 2*time.Second, third)
+		go forwardWithTimeout(t, b, 2*time.Second, third)
 		time.Sleep(100 * time.Millisecond)
-		clock.Advance(suspension)
-		defer clock.Advance(-suspension)
-		up.answers <- struct{}{}
+		clock.Advance(suspensionTime)
+		defer clock.Advance(-suspensionTime)
+		up.release <- struct{}{}
 		assert.Equal(t, <-first, http.StatusOK)
-		up.answers <- struct{}{}
+		up.release <- struct{}{}
 		assert.Equal(t, <-second, http.StatusOK)
 		synctest.Wait()
 		select {
-		case up.answers <- struct{}{}:
+		case up.release <- struct{}{}:
 			t.Error("a request was run 1 s after its caller had given up")
 		default:
 		}
--- a/internal/proxy/try.go
+++ b/internal/proxy/try.go
@@ -14,143 +14,144 @@
 	"github.com/walldrift/walldrift/internal/routing"
 )
 
-// try makes one try at target and returns its response, made up if there was none.
-func (x *exchange) try(ctx context.Context, target membership.Instance) (*http.Response, retry.Class) {
-	x.tries++
-	x.tried = append(x.tried, target.Name)
-	x.f.began(target)
-	x.begins(false)
+// try makes one try at target and returns its response, or a response made by this node
+// if there was none.
+func (ex *exchange) try(ctx context.Context, target membership.Instance) (*http.Response, retry.Class) {
+	ex.tries++
+	ex.tried = append(ex.tried, target.Name)
+	ex.f.tryStarted(target)
+	ex.setResponding(false)
 	sent := clock.Now()
-	resp, class := x.tryAt(ctx, target, sent)
-	x.noteTry(target.Name, sent, class, resp)
+	resp, class := ex.tryUpstream(ctx, target, sent)
+	ex.recordTry(target.Name, sent, class, resp)
 	return resp, class
 }
 
-// tryAt makes one try at an upstream, and tells the router how it ended.
-func (x *exchange) tryAt(ctx context.Context, target membership.Instance, sent time.Time) (*http.Response, retry.Class) {
-	resp, problem := x.send(ctx, target)
+// tryUpstream makes one try at an upstream and reports the result to the router.
+func (ex *exchange) tryUpstream(ctx context.Context, target membership.Instance, sent time.Time) (*http.Response, retry.Class) {
+	resp, problem := ex.send(ctx, target)
 	if problem != nil {
-		x.f.ended(target.Name, routing.Outcome{Generation: target.Generation, Failed: ctx.Err() == nil})
-		return x.f.answer(problem, x.req), problem.class
+		ex.f.tryEnded(target.Name, routing.Outcome{Generation: target.Generation, Failed: ctx.Err() == nil})
+		return ex.f.problemResponse(problem, ex.req), problem.class
 	}
 	class := classOf(resp.Header)
-	way := readWay(resp.Header, clock.Since(sent))
+	networkTime := readNetworkTime(resp.Header, clock.Since(sent))
 	if class != retry.Answered {
 		failed := class == retry.NeverDispatched || class == retry.Rejected || class == retry.Ambiguous
-		x.f.ended(target.Name, routing.Outcome{Generation: target.Generation, Failed: failed, WrongInstance: denied(resp.Header), Load: readLoad(resp.Header), Kind: x.kind, Late: x.env.late(), NetworkTime: way})
+		ex.f.tryEnded(target.Name, routing.Outcome{Generation: target.Generation, Failed: failed, WrongInstance: reportsWrongInstance(resp.Header), Load: readLoadReport(resp.Header), Kind: ex.kind, Late: ex.env.late(), NetworkTime: networkTime})
 		return resp, class
 	}
-	x.begins(true)
-	limit, kept := x.f.wholeLimit(resp.ContentLength)
-	x.f.held.Add(kept)
-	if resp.Body, _ = whole(resp, limit); resp.Body == nil {
-		x.f.held.Add(-kept)
-		x.f.ended(target.Name, routing.Outcome{Generation: target.Generation, Failed: true})
-		problem := unknownOutcome(http.StatusBadGateway, reasonLost)
-		return x.f.answer(problem, x.req), problem.class
+	ex.setResponding(true)
+	limit, reserved := ex.f.responseBufferLimit(resp.ContentLength)
+	ex.f.shutdownBuffered.Add(reserved)
+	if resp.Body, _ = bufferResponse(resp, limit); resp.Body == nil {
+		ex.f.shutdownBuffered.Add(-reserved)
+		ex.f.tryEnded(target.Name, routing.Outcome{Generation: target.Generation, Failed: true})
+		problem := unknownOutcome(http.StatusBadGateway, reasonConnectionLost)
+		return ex.f.problemResponse(problem, ex.req), problem.class
 	}
 	latency := clock.Since(sent)
-	x.f.heard(target.Name)
-	told := readLoad(resp.Header)
-	resp.Body = &endingBody{ReadCloser: resp.Body, want: resp.ContentLength, end: func(bool) {
-		x.f.held.Add(-kept)
-		x.f.ended(target.Name, routing.Outcome{Generation: target.Generation, Failed: resp.StatusCode >= http.StatusInternalServerError, Latency: latency, Load: told, Kind: x.kind, Late: x.env.late(), NetworkTime: way})
+	ex.f.responseStarted(target.Name)
+	load := readLoadReport(resp.Header)
+	resp.Body = &trackedBody{ReadCloser: resp.Body, expected: resp.ContentLength, onEnd: func(bool) {
+		ex.f.shutdownBuffered.Add(-reserved)
+		ex.f.tryEnded(target.Name, routing.Outcome{Generation: target.Generation, Failed: resp.StatusCode >= http.StatusInternalServerError, Latency: latency, Load: load, Kind: ex.kind, Late: ex.env.late(), NetworkTime: networkTime})
 	}}
-	if x.req.Method == http.MethodHead {
-		resp.Body.(*endingBody).want = -1
+	if ex.req.Method == http.MethodHead {
+		resp.Body.(*trackedBody).expected = -1
 	}
 	return resp, class
 }
 
-// denied reports whether a refusal says that another instance stands at the
-// target's address.
-func denied(h http.Header) bool {
+// reportsWrongInstance reports whether a refusal says that another instance answers at
+// the target's address.
+func reportsWrongInstance(h http.Header) bool {
 	reason := h.Get(HeaderReason)
-	return reason == reasonMisdirected || reason == string(admission.ReasonWrongTarget)
+	return reason == reasonWrongInstance || reason == string(admission.ReasonWrongTarget)
 }
 
-// choose picks the upstream of the next try: the key's home for a keyed
-// non-idempotent request, otherwise by the router.
-func (x *exchange) choose() (membership.Instance, *Problem) {
-	if x.homed() {
-		return x.chooseHome()
+// choose picks the upstream of the next try: the owner of its key for a keyed
+// non-idempotent request, otherwise the router's choice.
+func (ex *exchange) choose() (membership.Instance, *Problem) {
+	if ex.hasOwner() {
+		return ex.chooseOwner()
 	}
-	c, ok := x.pick()
+	c, ok := ex.pick()
 	if !ok {
-		if c.Wait > 0 { // all that are left are cold
+		if c.Wait > 0 { // all upstreams left are cold
 			return membership.Instance{}, notRun(http.StatusServiceUnavailable, retry.Limited, string(admission.ReasonCold), c.Wait)
 		}
 		return membership.Instance{}, notRun(http.StatusServiceUnavailable, retry.Limited, reasonNoUpstream, defaultRetryAfter)
 	}
-	x.place(c)
-	if hopeless(c) {
-		return membership.Instance{}, notRun(http.StatusServiceUnavailable, retry.Limited, reasonBusy, c.Wait)
+	ex.applyCandidate(c)
+	if exceedsMaxWait(c) {
+		return membership.Instance{}, notRun(http.StatusServiceUnavailable, retry.Limited, reasonAllBusy, c.Wait)
 	}
 	return c.Instance, nil
 }
 
-// pick asks the router for an upstream that was not tried yet.
-func (x *exchange) pick() (routing.Candidate, bool) {
-	return x.f.pick(routing.Request{
-		Service:           x.service,
-		Pinned:            x.route.Upstream,
-		Tried:             x.tried,
-		Kind:              x.kind,
-		ObjectiveDeadline: x.aim,
-		CallerRetry:       x.first.Before(x.start),
+// pick asks the router for an upstream that has not been tried yet.
+func (ex *exchange) pick() (routing.Candidate, bool) {
+	return ex.f.pick(routing.Request{
+		Service:           ex.service,
+		Pinned:            ex.route.Upstream,
+		Tried:             ex.tried,
+		Kind:              ex.kind,
+		ObjectiveDeadline: ex.objectiveDeadline,
+		CallerRetry:       ex.firstAttempt.Before(ex.start),
 	})
 }
 
-func (x *exchange) chooseHome() (membership.Instance, *Problem) {
-	key := ledger.Key{Service: x.env.Service, Tenant: x.env.Tenant, Value: x.env.Key}
-	m, ok := x.f.members(ledger.Owner(x.service, key))
+func (ex *exchange) chooseOwner() (membership.Instance, *Problem) {
+	key := ledger.Key{Service: ex.env.Service, Tenant: ex.env.Tenant, Value: ex.env.Key}
+	m, ok := ex.f.members(ledger.Owner(ex.service, key))
 	if !ok || m.Status == membership.Gone {
-		return membership.Instance{}, notRun(http.StatusServiceUnavailable, retry.Limited, reasonHome, defaultRetryAfter)
+		return membership.Instance{}, notRun(http.StatusServiceUnavailable, retry.Limited, reasonOwnerUnavailable, defaultRetryAfter)
 	}
 	return m.Instance, nil
 }
 
-// send hands the request to the node beside the target.
-func (x *exchange) send(ctx context.Context, target membership.Instance) (*http.Response, *Problem) {
-	way, err := x.f.dispatch.TransportTo(ctx, target)
+// send forwards the request to the node beside the target.
+func (ex *exchange) send(ctx context.Context, target membership.Instance) (*http.Response, *Problem) {
+	transport, err := ex.f.dispatcher.TransportTo(ctx, target)
 	if err != nil {
 		return nil, notRun(http.StatusServiceUnavailable, retry.NeverDispatched, reasonUnreachable, defaultRetryAfter)
 	}
 	admitted := make(chan struct{})
-	out := x.request(ctx, target, admitted)
-	resp, err := way.RoundTrip(out)
+	out := ex.peerRequest(ctx, target, admitted)
+	resp, err := transport.RoundTrip(out)
 	if err != nil {
 		return nil, sendFailure(ctx, err)
 	}
 	return resp, nil
 }
 
-// request builds the request to the admitting node.
-func (x *exchange) request(ctx context.Context, target membership.Instance, admitted chan struct{}) *http.Request {
-	env := x.env
+// peerRequest builds the request to the admitting node.
+func (ex *exchange) peerRequest(ctx context.Context, target membership.Instance, admitted chan struct{}) *http.Request {
+	env := ex.env
 	env.Target = target.Name
-	env.Timeout = clock.Until(x.deadline)
-	env.AwaitsAdmission = x.body.streams()
-	env.EmptyBody = x.body.length == 0
-	env.NoWait = x.noWait
+	env.Timeout = clock.Until(ex.deadline)
+	env.AwaitsAdmission = ex.body.streamed()
+	env.EmptyBody = ex.body.length == 0
+	env.NoWait = ex.noWait
 	if env.AwaitsAdmission {
 		ctx = withAdmitted(ctx, sync.OnceFunc(func() { close(admitted) }))
 	}
-	out := x.req.Clone(ctx)
+	out := ex.req.Clone(ctx)
 	out.URL.Scheme = "https"
 	out.URL.Host = target.Name
-	out.Host = x.req.Host
-	out.Body = x.body.open(ctx, admitted)
-	out.ContentLength = x.body.length
+	out.Host = ex.req.Host
+	out.Body = ex.body.open(ctx, admitted)
+	out.ContentLength = ex.body.length
 	out.GetBody = nil
 	stripHop(out.Header)
 	env.write(out.Header)
-	d := x.f.cfg.Dialect
+	d := ex.f.cfg.Dialect
 	if d.CustomerKey != "" {
 		out.Header.Del(d.CustomerKey)
 	}
 	if d.CallerService != "" {
-		out.Header.Set(d.CallerService, x.f.cfg.CallerService())
+		out.Header.Set(d.CallerService, ex.f.cfg.CallerService())
 	}
 	if d.ExpectedInstance != "" {
 		out.Header.Del(d.ExpectedInstance)
