--- a/internal/fleet/faults_test.go
+++ b/internal/fleet/faults_test.go
@@ -19,15 +19,15 @@
 	"github.com/walldrift/walldrift/internal/table"
 )
 
-// A graceful shutdown lets an upload and a slow answer in progress end.
+// A graceful shutdown lets an upload and a slow response in progress complete.
 func TestShutdownCutsNothingInFlight(t *testing.T) {
 	f := startSmall(t, Config{})
-	photo := bytes.Repeat([]byte("p"), 1<<20)
-	results := make(chan reply, 4)
-	for _, via := range []string{"look-1", "pay-1"} { // through a peer and through the leaving node itself
+	upload := bytes.Repeat([]byte("p"), 1<<20)
+	results := make(chan response, 4)
+	for _, via := range []string{"look-1", "pay-1"} { // through a peer and through the node that shuts down
 		go func() {
-			slow := io.MultiReader(bytes.NewReader(photo[:1000]), &pausedReader{wait: 300 * time.Millisecond}, bytes.NewReader(photo))
-			results <- send(t, f, via, "POST", "/pay/x", map[string]string{standin.HeaderWork: "300"}, slow)
+			slowBody := io.MultiReader(bytes.NewReader(upload[:1000]), &pausedReader{wait: 300 * time.Millisecond}, bytes.NewReader(upload))
+			results <- send(t, f, via, "POST", "/pay/x", map[string]string{standin.HeaderWork: "300"}, slowBody)
 		}()
 		go func() {
 			results <- send(t, f, via, "GET", "/look/x", map[string]string{standin.HeaderWork: "500"}, nil)
@@ -42,7 +42,7 @@
 	}
 }
 
-// pausedReader waits once and gives nothing.
+// pausedReader waits once and reads nothing.
 type pausedReader struct{ wait time.Duration }
 
 func (p *pausedReader) Read([]byte) (int, error) {
@@ -50,29 +50,29 @@
 	return 0, io.EOF
 }
 
-func TestPlatformAwayNewNodeStartsFromPeers(t *testing.T) {
+func TestNodeStartsFromPeersDuringPlatformOutage(t *testing.T) {
 	f := startSmall(t, Config{})
 	f.Platform.SetDown(true)
 	assert.NilError(t, f.StopNode("look-2"))
 	seeds := f.Node("look-1").Instance()
-	f.cfg.Settings = func(n *settings.Node) { quickKeys(n); seed(n, seeds.Name, seeds.Peer) }
+	f.cfg.Settings = func(n *settings.Node) { fastSettings(n); setSeed(n, seeds.Name, seeds.Peer) }
 	assert.NilError(t, f.StartNode("look-2"))
-	await(t, f, smallLayout().Table())
+	awaitTable(t, f, smallLayout().Table())
 	r := send(t, f, "look-2", "GET", "/look/x", nil, nil)
 	assert.Equal(t, r.status, http.StatusOK)
 }
 
-func seed(n *settings.Node, name string, addr netip.AddrPort) {
+func setSeed(n *settings.Node, name string, addr netip.AddrPort) {
 	n.Seeds = []distribution.Seed{{Name: name, Addr: addr}}
 }
 
-// Two data centres are cut from each other, and only one still reaches the
-// platform. Both go on serving; the other follows once the cut ends.
+// Two data centres are partitioned, and only one still reaches the platform. Both must
+// keep serving requests; the other one follows the platform once the partition heals.
 func TestPartitionBothSidesServeAndAgree(t *testing.T) {
 	f := startSmall(t, Config{InjectFaults: true, Settings: func(n *settings.Node) {
-		quickKeys(n)
+		fastSettings(n)
 		if n.DataCentre == "dc-2" {
-			n.Platform = &url.URL{Scheme: "http", Host: "127.0.0.1:9"} // nobody answers there
+			n.Platform = &url.URL{Scheme: "http", Host: "127.0.0.1:9"} // nothing listens there
 			n.StartTimeout = time.Minute
 			n.Seeds = []distribution.Seed{{Name: n.Name, Addr: n.Peers}}
 		}
@@ -93,11 +93,11 @@
 	assert.Assert(t, served["pay-1"] > 0 && served["pay-2"] > 0, "%v", served)
 	assert.Equal(t, f.Node("pay-2").Table().Edition, uint64(1))
 	f.Network.SetPartition("dc-1", "dc-2", false)
-	await(t, f, next)
+	awaitTable(t, f, next)
 	assert.Assert(t, f.Network.Dropped() > 0)
 }
 
-// One datagram in five is lost; every edit still reaches every node.
+// One datagram in five is lost; every edit must still reach every node.
 func TestEditsReachAllUnderLoss(t *testing.T) {
 	f := startSmall(t, Config{InjectFaults: true})
 	f.Network.SetLoss(0.2)
@@ -107,7 +107,7 @@
 		raw, err = table.Set(raw, table.Edit{Row: table.RowUpstream, Name: "pay-1", Column: table.ColWeight, Value: fmt.Sprint(2 + i)})
 		assert.NilError(t, err)
 		f.Platform.Put(platform.KeyTable, raw)
-		await(t, f, raw)
+		awaitTable(t, f, raw)
 	}
 	assert.Assert(t, f.Network.Dropped() > 0)
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,6 +1,6 @@
-// Package fleet runs a whole small fleet in one process, on loopback: the
-// stand-ins of platform and upstreams, and a node beside each. The demo, tests
-// and measurements use it.
+// Package fleet runs a small fleet in one process, on loopback: stand-ins of the platform
+// and the upstreams, and a node beside each upstream. The demo, tests and benchmarks use
+// it.
 package fleet
 
 import (
@@ -31,12 +31,12 @@
 type Config struct {
 	Placements []standin.Placement
 	Table      []byte
-	Log        io.Writer // of all nodes; nil for none
+	Log        io.Writer // log of all nodes; nil for none
 	LogLevel   string
-	// Settings changes the settings of each node before it starts; nil for none.
+	// Settings edits the settings of each node before it starts; nil for no edit.
 	Settings func(*settings.Node)
-	// InjectFaults puts a fault point at each node's socket, for Network. It costs the
-	// socket's batched reads and writes.
+	// InjectFaults wraps the socket of each node for the fault injection of Network. It
+	// disables batched reads and writes on the socket.
 	InjectFaults bool
 	// Upstream wraps the handler of each upstream stand-in; nil for none.
 	Upstream func(name string, h http.Handler) http.Handler
@@ -48,42 +48,42 @@
 	Network   *Network // between the nodes
 	Upstreams map[string]*standin.Upstream
 
-	cfg        Config
-	authority  *peer.Authority
-	identities map[string]*peer.Identity
-	server     *httptest.Server
-	backends   map[string]*httptest.Server
-	peers      map[string]netip.AddrPort
+	cfg             Config
+	authority       *peer.Authority
+	identities      map[string]*peer.Identity
+	platformServer  *httptest.Server
+	upstreamServers map[string]*httptest.Server
+	peerAddrs       map[string]netip.AddrPort
 
 	mu    sync.Mutex
-	nodes map[string]*member
+	nodes map[string]*runningNode
 }
 
-// member is one node with its run.
-type member struct {
+// runningNode is a node with the goroutine that runs it.
+type runningNode struct {
 	node *node.Node
 	stop context.CancelFunc
 	done chan error
 }
 
-// Start runs the fleet and publishes table and instance list. Close ends it.
+// Start starts the fleet and publishes the table and the instance list. Close stops it.
 func Start(cfg Config) (*Fleet, error) {
 	authority, err := peer.NewAuthority()
 	if err != nil {
 		return nil, err
 	}
 	f := &Fleet{
-		Platform:   standin.NewPlatform(),
-		Network:    newNetwork(),
-		Upstreams:  make(map[string]*standin.Upstream),
-		cfg:        cfg,
-		authority:  authority,
-		identities: make(map[string]*peer.Identity),
-		backends:   make(map[string]*httptest.Server),
-		peers:      make(map[string]netip.AddrPort),
-		nodes:      make(map[string]*member),
+		Platform:        standin.NewPlatform(),
+		Network:         newNetwork(),
+		Upstreams:       make(map[string]*standin.Upstream),
+		cfg:             cfg,
+		authority:       authority,
+		identities:      make(map[string]*peer.Identity),
+		upstreamServers: make(map[string]*httptest.Server),
+		peerAddrs:       make(map[string]netip.AddrPort),
+		nodes:           make(map[string]*runningNode),
 	}
-	f.server = httptest.NewServer(f.Platform.Handler())
+	f.platformServer = httptest.NewServer(f.Platform.Handler())
 	for _, p := range cfg.Placements {
 		if err := f.addUpstream(p); err != nil {
 			f.Close()
@@ -101,8 +101,8 @@
 	return f, nil
 }
 
-// StartReady is Start followed by a wait, bounded by ctx and startTimeout,
-// until every node has the table in force.
+// StartReady is Start followed by a wait, bounded by ctx and startTimeout, until every
+// node has the table in force.
 func StartReady(ctx context.Context, cfg Config) (*Fleet, error) {
 	snap, err := snapshot.Build(cfg.Table)
 	if err != nil {
@@ -126,7 +126,7 @@
 
 // PublishInstances publishes the instance list.
 func (f *Fleet) PublishInstances() {
-	f.Platform.Put(platform.KeyInstances, standin.List(uint64(time.Now().UnixMilli()), f.cfg.Placements, f.peers))
+	f.Platform.Put(platform.KeyInstances, standin.List(uint64(time.Now().UnixMilli()), f.cfg.Placements, f.peerAddrs))
 }
 
 func (f *Fleet) addUpstream(p standin.Placement) error {
@@ -136,18 +136,18 @@
 	if f.cfg.Upstream != nil {
 		handler = f.cfg.Upstream(p.Name, u)
 	}
-	f.backends[p.Name] = httptest.NewServer(handler)
+	f.upstreamServers[p.Name] = httptest.NewServer(handler)
 	id, err := f.authority.Issue(p.Name)
 	if err != nil {
 		return err
 	}
 	f.identities[p.Name] = id
-	f.peers[p.Name], err = freeUDP()
-	f.Network.place(f.peers[p.Name], p.DataCentre)
+	f.peerAddrs[p.Name], err = freeUDP()
+	f.Network.register(f.peerAddrs[p.Name], p.DataCentre)
 	return err
 }
 
-// freeUDP finds a free UDP port on loopback.
+// freeUDP returns the address of a free UDP port on loopback.
 func freeUDP() (netip.AddrPort, error) {
 	c, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
@@ -157,57 +157,57 @@
 	return addr, c.Close()
 }
 
-// StartNode starts the node of a placement, again if it was stopped.
+// StartNode starts the node of a placement, also after it was stopped.
 func (f *Fleet) StartNode(name string) error {
 	return f.startNode(name, netip.MustParseAddrPort("127.0.0.1:0"))
 }
 
-func (f *Fleet) startNode(name string, callers netip.AddrPort) error {
-	at := slices.IndexFunc(f.cfg.Placements, func(p standin.Placement) bool { return p.Name == name })
-	if at < 0 {
+func (f *Fleet) startNode(name string, callerAddr netip.AddrPort) error {
+	i := slices.IndexFunc(f.cfg.Placements, func(p standin.Placement) bool { return p.Name == name })
+	if i < 0 {
 		return errors.Newf("no placement %q", name)
 	}
-	cfg, err := f.settings(f.cfg.Placements[at])
+	cfg, err := f.settings(f.cfg.Placements[i])
 	if err != nil {
 		return err
 	}
-	cfg.Callers = callers
-	out := f.cfg.Log
-	if out == nil {
-		out = io.Discard
+	cfg.Callers = callerAddr
+	logWriter := f.cfg.Log
+	if logWriter == nil {
+		logWriter = io.Discard
 	}
-	n, err := node.New(cfg, f.identities[name], telemetry.NewLogger(out, f.cfg.LogLevel, "text", name), f.faultPoint(f.cfg.Placements[at]))
+	started, err := node.New(cfg, f.identities[name], telemetry.NewLogger(logWriter, f.cfg.LogLevel, "text", name), f.socketWrapper(f.cfg.Placements[i]))
 	if err != nil {
 		return err
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	m := &member{node: n, stop: stop, done: make(chan error, 1)}
-	go func() { m.done <- n.Run(ctx) }()
+	running := &runningNode{node: started, stop: stop, done: make(chan error, 1)}
+	go func() { running.done <- started.Run(ctx) }()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.nodes[name] = m
+	f.nodes[name] = running
 	return nil
 }
 
-func (f *Fleet) faultPoint(p standin.Placement) peer.Wrap {
+func (f *Fleet) socketWrapper(p standin.Placement) peer.Wrap {
 	if !f.cfg.InjectFaults {
 		return nil
 	}
-	return f.Network.wrap(p.DataCentre)
+	return f.Network.wrapperFor(p.DataCentre)
 }
 
-// settings makes the settings of one node.
+// settings returns the settings of one node.
 func (f *Fleet) settings(p standin.Placement) (*settings.Node, error) {
 	cfg, err := settings.Defaults()
 	if err != nil {
 		return nil, err
 	}
 	cfg.Name, cfg.Service, cfg.DataCentre, cfg.Region = p.Name, p.Service, p.DataCentre, p.Region
-	cfg.Admin, cfg.Peers = netip.MustParseAddrPort("127.0.0.1:0"), f.peers[p.Name]
-	if cfg.Upstream, err = url.Parse(f.backends[p.Name].URL); err != nil {
+	cfg.Admin, cfg.Peers = netip.MustParseAddrPort("127.0.0.1:0"), f.peerAddrs[p.Name]
+	if cfg.Upstream, err = url.Parse(f.upstreamServers[p.Name].URL); err != nil {
 		return nil, err
 	}
-	if cfg.Platform, err = url.Parse(f.server.URL); err != nil {
+	if cfg.Platform, err = url.Parse(f.platformServer.URL); err != nil {
 		return nil, err
 	}
 	cfg.ReadSpread = 100 * time.Millisecond
@@ -218,7 +218,7 @@
 	return cfg, nil
 }
 
-// Node returns a running node, nil if it is stopped.
+// Node returns a running node; nil if it is stopped.
 func (f *Fleet) Node(name string) *node.Node {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -228,7 +228,7 @@
 	return nil
 }
 
-// Nodes returns the running nodes, sorted by name.
+// Nodes returns the running nodes in the order of the placements.
 func (f *Fleet) Nodes() []*node.Node {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -241,43 +241,42 @@
 	return out
 }
 
-// StopNode shuts a node down gracefully and waits for it.
+// StopNode shuts a node down gracefully and waits until it has stopped.
 func (f *Fleet) StopNode(name string) error {
 	f.mu.Lock()
 	m, ok := f.nodes[name]
 	delete(f.nodes, name)
 	f.mu.Unlock()
 	if !ok {
-		return errors.Newf("node %q does not run", name)
+		return errors.Newf("node %q is not running", name)
 	}
 	m.stop()
 	return <-m.done
 }
 
-// RestartNode shuts a node down gracefully and starts it again on the same
-// addresses.
+// RestartNode shuts a node down gracefully and starts it again on the same addresses.
 func (f *Fleet) RestartNode(name string) error {
 	old := f.Node(name)
 	if old == nil {
-		return errors.Newf("node %q does not run", name)
+		return errors.Newf("node %q is not running", name)
 	}
-	callers, err := netip.ParseAddrPort(old.Callers())
+	callerAddr, err := netip.ParseAddrPort(old.Callers())
 	if err != nil {
 		return err
 	}
 	if err := f.StopNode(name); err != nil {
 		return err
 	}
-	return f.startNode(name, callers)
+	return f.startNode(name, callerAddr)
 }
 
-// Kill ends a node and its upstream without warning.
+// Kill ends a node and its upstream without a shutdown.
 func (f *Fleet) Kill(name string) {
 	f.mu.Lock()
 	m := f.nodes[name]
 	delete(f.nodes, name)
 	f.mu.Unlock()
-	b := f.backends[name]
+	b := f.upstreamServers[name]
 	_ = b.Config.Close()
 	if m == nil {
 		return
@@ -288,41 +287,41 @@
 }
 
 // UpstreamURL returns the address of an upstream stand-in.
-func (f *Fleet) UpstreamURL(name string) string { return f.backends[name].URL }
+func (f *Fleet) UpstreamURL(name string) string { return f.upstreamServers[name].URL }
 
-// AwaitVersion waits until every node has id in force and is ready, and
-// returns the time that took.
+// AwaitVersion waits until every node is ready and has table version id in force, and
+// returns how long that took.
 func (f *Fleet) AwaitVersion(ctx context.Context, id version.ID) (time.Duration, error) {
 	start := time.Now()
 	for {
-		behind := ""
+		outdated := ""
 		for _, n := range f.Nodes() {
 			if n.Table() != id || !n.Ready() {
-				behind = n.Instance().Name
+				outdated = n.Instance().Name
 			}
 		}
-		if behind == "" {
+		if outdated == "" {
 			return time.Since(start), nil
 		}
 		select {
 		case <-ctx.Done():
-			return 0, errors.Newf("node %s does not hold %s", behind, id)
+			return 0, errors.Newf("node %s does not have table version %s in force", outdated, id)
 		case <-time.After(time.Millisecond):
 		}
 	}
 }
 
-// CallerURL returns the address for callers of a node.
+// CallerURL returns the URL at which a node accepts callers.
 func CallerURL(n *node.Node) string { return "http://" + n.Callers() }
 
-// PlatformURL returns the address of the platform stand-in.
-func (f *Fleet) PlatformURL() string { return f.server.URL }
+// PlatformURL returns the URL of the platform stand-in.
+func (f *Fleet) PlatformURL() string { return f.platformServer.URL }
 
-// Close stops everything.
+// Close stops all nodes and servers.
 func (f *Fleet) Close() {
 	f.mu.Lock()
 	nodes := f.nodes
-	f.nodes = make(map[string]*member)
+	f.nodes = make(map[string]*runningNode)
 	f.mu.Unlock()
 	for _, m := range nodes {
 		m.stop()
@@ -330,10 +329,10 @@
 	for _, m := range nodes {
 		<-m.done
 	}
-	for _, b := range f.backends {
+	for _, b := range f.upstreamServers {
 		closeServer(b)
 	}
-	closeServer(f.server)
+	closeServer(f.platformServer)
 }
 
 func closeServer(s *httptest.Server) {
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -25,7 +25,7 @@
 	"github.com/walldrift/walldrift/internal/table"
 )
 
-// smallLayout has two targets that take payments and one that looks up.
+// smallLayout has two upstreams each for payments and lookups.
 func smallLayout() standin.Layout {
 	return standin.Layout{
 		Name: "small", Region: "r", Centres: []string{"dc-1", "dc-2"},
@@ -36,18 +36,18 @@
 	}
 }
 
-func quickKeys(n *settings.Node) {
+func fastSettings(n *settings.Node) {
 	n.LedgerSkew = time.Millisecond
 	n.DrainAnnounce = 50 * time.Millisecond
 }
 
-// startSmall runs the small fleet and waits until it is ready.
+// startSmall starts the small fleet and waits until it is ready.
 func startSmall(t *testing.T, cfg Config) *Fleet {
 	t.Helper()
 	layout := smallLayout()
 	cfg.Placements, cfg.Table = layout.Placements(), layout.Table()
 	if cfg.Settings == nil {
-		cfg.Settings = quickKeys
+		cfg.Settings = fastSettings
 	}
 	f, err := StartReady(t.Context(), cfg)
 	assert.NilError(t, err)
@@ -55,7 +55,7 @@
 	return f
 }
 
-func await(t *testing.T, f *Fleet, raw []byte) {
+func awaitTable(t *testing.T, f *Fleet, raw []byte) {
 	t.Helper()
 	s, err := snapshot.Build(raw)
 	assert.NilError(t, err)
@@ -65,22 +65,22 @@
 	assert.NilError(t, err)
 }
 
-// reply is what a caller got.
-type reply struct {
+// response is what a caller received.
+type response struct {
 	status int
 	header http.Header
 	body   []byte
-	err    error // of reading the body, or of the whole exchange
+	err    error // from reading the body, or from the whole request
 }
 
-func (r reply) echo(t *testing.T) standin.Echo {
+func (r response) echo(t *testing.T) standin.Echo {
 	t.Helper()
 	var e standin.Echo
 	assert.NilError(t, json.Unmarshal(r.body, &e), "%s", r.body)
 	return e
 }
 
-func send(t *testing.T, f *Fleet, node, method, path string, header map[string]string, body io.Reader) reply {
+func send(t *testing.T, f *Fleet, node, method, path string, header map[string]string, body io.Reader) response {
 	t.Helper()
 	req, err := http.NewRequestWithContext(t.Context(), method, CallerURL(f.Node(node))+path, body)
 	assert.NilError(t, err)
@@ -89,51 +89,51 @@
 	}
 	resp, err := (&http.Client{Transport: &http.Transport{DisableKeepAlives: true}}).Do(req)
 	if err != nil {
-		return reply{err: err}
+		return response{err: err}
 	}
 	defer func() { _ = resp.Body.Close() }()
 	b, err := io.ReadAll(resp.Body)
-	return reply{status: resp.StatusCode, header: resp.Header, body: b, err: err}
+	return response{status: resp.StatusCode, header: resp.Header, body: b, err: err}
 }
 
-// lowerKey is the key header in a form that the client's net/http does not
-// take for leave to repeat the request.
-const lowerKey = "idempotency-key"
+// lowerCaseKeyHeader is the key header in lower case. In this form net/http does not see
+// it as permission to retry the request.
+const lowerCaseKeyHeader = "idempotency-key"
 
 func newKey() string { return uuid.Must(uuid.NewV7()).String() }
 
-func TestEditReachesEveryNodeAndBadOneNone(t *testing.T) {
+func TestValidEditReachesAllNodesInvalidNone(t *testing.T) {
 	f := startSmall(t, Config{})
 	raw := smallLayout().Table()
 	next, err := table.Set(raw, table.Edit{Row: table.RowUpstream, Name: "pay-1", Column: table.ColWeight, Value: "3"})
 	assert.NilError(t, err)
 	f.Platform.Put(platform.KeyTable, next)
-	await(t, f, next)
-	bad, err := table.Set(next, table.Edit{Row: table.RowRoute, Name: "pay", Column: table.ColService, Value: "nowhere"})
+	awaitTable(t, f, next)
+	invalid, err := table.Set(next, table.Edit{Row: table.RowRoute, Name: "pay", Column: table.ColService, Value: "nowhere"})
 	assert.NilError(t, err)
-	f.Platform.Put(platform.KeyTable, bad)
-	good, err := table.Set(bad, table.Edit{Row: table.RowRoute, Name: "pay", Column: table.ColService, Value: "pay"})
+	f.Platform.Put(platform.KeyTable, invalid)
+	corrected, err := table.Set(invalid, table.Edit{Row: table.RowRoute, Name: "pay", Column: table.ColService, Value: "pay"})
 	assert.NilError(t, err)
-	f.Platform.Put(platform.KeyTable, good)
-	await(t, f, good)
-	// An operator's older copy comes back, as from a backup.
+	f.Platform.Put(platform.KeyTable, corrected)
+	awaitTable(t, f, corrected)
+	// An operator publishes an older copy again, for example from a backup.
 	f.Platform.Put(platform.KeyTable, raw)
-	last, err := table.Set(good, table.Edit{Row: table.RowUpstream, Name: "pay-2", Column: table.ColWeight, Value: "2"})
+	last, err := table.Set(corrected, table.Edit{Row: table.RowUpstream, Name: "pay-2", Column: table.ColWeight, Value: "2"})
 	assert.NilError(t, err)
 	for _, n := range f.Nodes() {
 		assert.Equal(t, n.Table().Edition, uint64(4))
 	}
 	f.Platform.Put(platform.KeyTable, last)
-	await(t, f, last)
+	awaitTable(t, f, last)
 }
 
-func TestOwnWholeAnswerThroughAnyNode(t *testing.T) {
+func TestCompleteResponseThroughAnyNode(t *testing.T) {
 	f := startSmall(t, Config{})
-	photo := bytes.Repeat([]byte("photo "), 1<<19) // 3 MB
-	sum := sha256.Sum256(photo)
+	upload := bytes.Repeat([]byte("photo "), 1<<19) // 3 MB
+	sum := sha256.Sum256(upload)
 	for _, n := range []string{"pay-1", "look-2"} {
 		id := newKey()
-		r := send(t, f, n, http.MethodPost, "/pay/x", map[string]string{standin.HeaderRequestID: id, standin.HeaderAnswer: "2000000"}, bytes.NewReader(photo))
+		r := send(t, f, n, http.MethodPost, "/pay/x", map[string]string{standin.HeaderRequestID: id, standin.HeaderAnswer: "2000000"}, bytes.NewReader(upload))
 		assert.NilError(t, r.err)
 		e := r.echo(t)
 		assert.Equal(t, e.RequestID, id)
@@ -142,8 +142,8 @@
 	}
 }
 
-// countingUpstream counts the requests that reach it before the wrapped
-// handler runs.
+// countingUpstream counts the requests that reach an upstream before the given handler
+// runs. Health and load requests are passed to the stand-in uncounted.
 func countingUpstream(count *atomic.Int64, h http.HandlerFunc) func(string, http.Handler) http.Handler {
 	return func(_ string, base http.Handler) http.Handler {
 		return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -157,30 +157,30 @@
 	}
 }
 
-// net/http repeats a request on a kept connection that turns out closed, if it
-// takes it for replayable: a GET, or anything with an Idempotency-Key. None of
-// that may happen on a non-idempotent route.
+// net/http retries a request on an idle connection that turns out to be closed if it
+// considers the request replayable: a GET, or any request with an Idempotency-Key. That
+// must not happen on a non-idempotent route.
 func TestNothingReplaysNonIdempotentRequest(t *testing.T) {
-	var count, good atomic.Int64
-	f := startSmall(t, Config{Upstream: countingUpstream(&count, func(w http.ResponseWriter, r *http.Request) {
-		if good.Add(-1) >= 0 {
+	var received, successes atomic.Int64
+	f := startSmall(t, Config{Upstream: countingUpstream(&received, func(w http.ResponseWriter, r *http.Request) {
+		if successes.Add(-1) >= 0 {
 			_, _ = io.WriteString(w, "warm")
 			return
 		}
 		conn, _, err := http.NewResponseController(w).Hijack()
 		if err == nil {
-			_ = conn.Close() // the request was read; the answer never comes
+			_ = conn.Close() // the request was read, and no response follows
 		}
 	})})
 	for _, c := range []struct{ method, key string }{{"POST", ""}, {"POST", "key"}, {"GET", ""}, {"PUT", "key"}, {"GET", "key"}, {"EMPTY", "key"}} {
-		good.Store(8)
-		for range 8 { // leave kept connections to both upstreams
+		successes.Store(8)
+		for range 8 { // leaves idle connections to both upstreams
 			send(t, f, "look-1", "POST", "/pay/warm", nil, nil)
 		}
-		count.Store(0)
+		received.Store(0)
 		header := map[string]string{}
 		if c.key != "" {
-			header[lowerKey] = newKey()
+			header[lowerCaseKeyHeader] = newKey()
 		}
 		var body io.Reader
 		method := c.method
@@ -190,16 +190,16 @@
 			body = strings.NewReader("x")
 		}
 		r := send(t, f, "look-1", method, "/pay/x", header, body)
-		assert.Equal(t, count.Load(), int64(1), "%s with key %q", c.method, c.key)
+		assert.Equal(t, received.Load(), int64(1), "%s with key %q", c.method, c.key)
 		assert.Equal(t, r.header.Get(proxy.HeaderOutcome), string(proxy.OutcomeUnknown))
 		assert.Equal(t, r.status, http.StatusBadGateway)
 	}
 }
 
-// An answer that is cut on its way never looks whole to the caller.
+// A response that is cut on its way must never look complete to the caller.
 func TestCutAnswerIsNotWhole(t *testing.T) {
-	var count atomic.Int64
-	f := startSmall(t, Config{Upstream: countingUpstream(&count, func(w http.ResponseWriter, r *http.Request) {
+	var received atomic.Int64
+	f := startSmall(t, Config{Upstream: countingUpstream(&received, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/look/length" {
 			w.Header().Set("Content-Length", "100000")
 		}
@@ -210,7 +210,7 @@
 	for _, path := range []string{"/look/length", "/look/chunked"} {
 		for _, n := range []string{"look-1", "pay-1", "pay-2"} {
 			r := send(t, f, n, "GET", path, nil, nil)
-			assert.Assert(t, r.err != nil, "%s through %s looks whole", path, n)
+			assert.Assert(t, r.err != nil, "%s through %s looks complete", path, n)
 		}
 	}
 }
@@ -222,13 +222,13 @@
 	assert.Equal(t, r.header.Get(proxy.HeaderOutcome), "")
 }
 
-// A key repeated through another node gets the first answer, and runs once.
+// A key repeated through another node gets the first response, and the request runs once.
 func TestRepeatedKeyRunsOnce(t *testing.T) {
 	f := startSmall(t, Config{})
 	id, key := "first", newKey()
 	var first []byte
 	for i, n := range []string{"pay-1", "pay-2", "look-1", "look-2"} {
-		r := send(t, f, n, "POST", "/pay/x", map[string]string{standin.HeaderRequestID: id, lowerKey: key}, strings.NewReader("draw"))
+		r := send(t, f, n, "POST", "/pay/x", map[string]string{standin.HeaderRequestID: id, lowerCaseKeyHeader: key}, strings.NewReader("draw"))
 		assert.Equal(t, r.status, http.StatusOK, "%s", r.body)
 		if i == 0 {
 			first = r.body
@@ -242,8 +242,8 @@
 	assert.Equal(t, runs, 1)
 }
 
-// The same under a race of repeats through all nodes, with the home's node
-// restarted in the middle: never twice, and every refusal says so truly.
+// The same with concurrent repeats through several nodes and a restart of an owner's node
+// in between: a request must never run twice.
 func TestRepeatedKeyRunsAtMostOnceOverRestart(t *testing.T) {
 	f := startSmall(t, Config{})
 	var keys []string
@@ -255,14 +255,14 @@
 		for i, key := range keys {
 			n := []string{"look-1", "look-2"}[(i+round)%2]
 			group.Go(func() {
-				send(t, f, n, "POST", "/pay/x", map[string]string{standin.HeaderRequestID: key, lowerKey: key}, strings.NewReader("draw"))
+				send(t, f, n, "POST", "/pay/x", map[string]string{standin.HeaderRequestID: key, lowerCaseKeyHeader: key}, strings.NewReader("draw"))
 			})
 		}
 		group.Wait()
 		if round == 2 {
 			assert.NilError(t, f.StopNode("pay-1"))
 			assert.NilError(t, f.StartNode("pay-1"))
-			await(t, f, smallLayout().Table())
+			awaitTable(t, f, smallLayout().Table())
 		}
 	}
 	ran := 0
@@ -277,15 +277,15 @@
 	assert.Assert(t, ran > 0)
 }
 
-// A request whose body streams is refused before its body is touched, so it
-// can go to another upstream whole.
+// A request with a streaming body is refused before the body is read, so that it can be
+// sent complete to another upstream.
 func TestRefusedUploadGoesElsewhereWhole(t *testing.T) {
 	f := startSmall(t, Config{})
 	f.Node("pay-1").SetDraining(true)
-	photo := bytes.Repeat([]byte("p"), 1<<20)
-	sum := sha256.Sum256(photo)
+	upload := bytes.Repeat([]byte("p"), 1<<20)
+	sum := sha256.Sum256(upload)
 	for range 10 {
-		r := send(t, f, "look-1", "POST", "/pay/x", nil, bytes.NewReader(photo))
+		r := send(t, f, "look-1", "POST", "/pay/x", nil, bytes.NewReader(upload))
 		assert.Equal(t, r.status, http.StatusOK, "%s", r.body)
 		e := r.echo(t)
 		assert.Equal(t, e.Upstream, "pay-2")
@@ -293,10 +293,10 @@
 	}
 }
 
-// A refusal is immediate, says that it was not run, says when to come back,
-// and is true.
+// An overload refusal comes at once, says that the request was not run and when to retry,
+// and must be true.
 func TestOverloadRefusalIsTrue(t *testing.T) {
-	f := startSmall(t, Config{Settings: func(n *settings.Node) { quickKeys(n); n.Queue = 1 }})
+	f := startSmall(t, Config{Settings: func(n *settings.Node) { fastSettings(n); n.Queue = 1 }})
 	var mu sync.Mutex
 	refused := make(map[string]bool)
 	var group sync.WaitGroup
--- a/internal/fleet/network.go
+++ b/internal/fleet/network.go
@@ -9,88 +9,88 @@
 	"github.com/walldrift/walldrift/internal/peer"
 )
 
-// Network makes faults between the nodes of a fleet happen, at their sockets.
+// Network injects faults between the nodes of a fleet, at their sockets.
 type Network struct {
-	mu      sync.Mutex
-	centres map[netip.AddrPort]string
-	cut     map[[2]string]bool // data centre pairs, either order
-	loss    float64
-	rnd     *rand.Rand
-	faulty  bool
-	dropped int64
+	mu          sync.Mutex
+	dataCentres map[netip.AddrPort]string
+	partitioned map[[2]string]bool // pairs of data centres, in both orders
+	loss        float64
+	rnd         *rand.Rand
+	active      bool
+	dropped     int64
 }
 
-// lossSeed makes the lost datagrams the same in every run, as far as the order
-// of sending is.
+// lossSeed makes the lost datagrams the same in every run, as far as the order of sending
+// is the same.
 const lossSeed = 11
 
 func newNetwork() *Network {
 	return &Network{
-		centres: make(map[netip.AddrPort]string),
-		cut:     make(map[[2]string]bool),
-		rnd:     rand.New(rand.NewPCG(lossSeed, lossSeed)),
+		dataCentres: make(map[netip.AddrPort]string),
+		partitioned: make(map[[2]string]bool),
+		rnd:         rand.New(rand.NewPCG(lossSeed, lossSeed)),
 	}
 }
 
-func (n *Network) place(addr netip.AddrPort, centre string) {
+func (n *Network) register(addr netip.AddrPort, centre string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.centres[addr] = centre
+	n.dataCentres[addr] = centre
 }
 
-// SetPartition stops, or lets through, all datagrams between two data centres.
+// SetPartition drops all datagrams between two data centres, or lets them through again.
 func (n *Network) SetPartition(a, b string, on bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.cut[[2]string{a, b}], n.cut[[2]string{b, a}] = on, on
-	n.faulty = true
+	n.partitioned[[2]string{a, b}], n.partitioned[[2]string{b, a}] = on, on
+	n.active = true
 }
 
-// SetLoss loses each datagram with the given probability.
+// SetLoss drops each datagram with the given probability.
 func (n *Network) SetLoss(p float64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.loss, n.faulty = p, true
+	n.loss, n.active = p, true
 }
 
-// Dropped returns the datagrams lost so far.
+// Dropped returns the number of dropped datagrams.
 func (n *Network) Dropped() int64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.dropped
 }
 
-// passes decides about one datagram.
-func (n *Network) passes(from string, to netip.AddrPort) bool {
+// delivers decides whether one datagram is delivered.
+func (n *Network) delivers(from string, to netip.AddrPort) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if !n.faulty {
+	if !n.active {
 		return true
 	}
-	lost := n.cut[[2]string{from, n.centres[to]}] || (n.loss > 0 && n.rnd.Float64() < n.loss)
+	lost := n.partitioned[[2]string{from, n.dataCentres[to]}] || (n.loss > 0 && n.rnd.Float64() < n.loss)
 	if lost {
 		n.dropped++
 	}
 	return !lost
 }
 
-// wrap returns the fault point of a node in a data centre.
-func (n *Network) wrap(centre string) peer.Wrap {
+// wrapperFor returns the socket wrapper of a node in a data centre.
+func (n *Network) wrapperFor(centre string) peer.Wrap {
 	return func(c net.PacketConn) net.PacketConn {
 		return &faultySocket{PacketConn: c, network: n, centre: centre}
 	}
 }
 
-// faultySocket loses datagrams on the way out.
+// faultySocket drops outgoing datagrams.
 type faultySocket struct {
 	net.PacketConn
 	network *Network
 	centre  string
 }
 
-// WriteTo sends a datagram, or loses it without a word.
+// WriteTo sends a datagram, or drops it without an error.
 func (s *faultySocket) WriteTo(p []byte, addr net.Addr) (int, error) {
-	if udp, ok := addr.(*net.UDPAddr); ok && !s.network.passes(s.centre, udp.AddrPort()) {
+	if udp, ok := addr.(*net.UDPAddr); ok && !s.network.delivers(s.centre, udp.AddrPort()) {
 		return len(p), nil
 	}
 	return s.PacketConn.WriteTo(p, addr)
