--- a/internal/discovery/change_bound_test.go
+++ b/internal/discovery/change_bound_test.go
@@ -86,7 +86,8 @@
 		"many calls lost, peer updates arrive": {
 			lose: func(_ []*testNode, node *testNode) {
 				node.set(func(n *testNode) { n.unanswered = 4 })
-				node.follower.markStoreUnreachable(context.Background(), time.Now(), errResponseOverdue) // makes it call the store
+				// An unreachable store makes the node call it.
+				node.follower.markStoreUnreachable(context.Background(), time.Now(), errResponseOverdue)
 			},
 			ends: 2500 * time.Millisecond, step: 250 * time.Millisecond, within: changeBound,
 		},
--- a/internal/discovery/follower.go
+++ b/internal/discovery/follower.go
@@ -29,11 +29,13 @@
 	onChange func(*Directory)
 	runID    uint64 // identifies this run of the node in cursors
 
-	dir                    atomic.Pointer[Directory]
-	callerLimits           atomic.Pointer[CallerLimits]
-	coldStarts             atomic.Pointer[map[string]ColdStart]
-	callCount              atomic.Int64              // of the store
-	unreachableSinceAtomic atomic.Pointer[time.Time] // copy of unreachableSince for readers without the lock; nil while the store is reachable
+	dir          atomic.Pointer[Directory]
+	callerLimits atomic.Pointer[CallerLimits]
+	coldStarts   atomic.Pointer[map[string]ColdStart]
+	callCount    atomic.Int64 // of the store
+	// unreachableSinceAtomic is a copy of unreachableSince for readers without the lock; nil
+	// while the store is reachable.
+	unreachableSinceAtomic atomic.Pointer[time.Time]
 	// syncedAtAtomic is a copy of syncedAt for readers without the lock; nil for none.
 	syncedAtAtomic atomic.Pointer[time.Time]
 
--- a/internal/discovery/long_poll.go
+++ b/internal/discovery/long_poll.go
@@ -24,10 +24,10 @@
 	f.lastPeerRequest = receivedAt
 	peerSyncedAt := receivedAt.Add(-req.Age)
 	for waited := false; !waited && !f.hasChanges(req) && !f.isFresher(peerSyncedAt); {
-		tick := f.updated
+		updated := f.updated
 		f.mu.Unlock()
 		select {
-		case <-tick:
+		case <-updated:
 		case <-timer.C:
 			waited = true
 		case <-ctx.Done():
--- a/internal/discovery/peer_update_test.go
+++ b/internal/discovery/peer_update_test.go
@@ -73,7 +73,8 @@
 		f := startFollowers(t, 8, "a", "b")
 		readers, others := f.roles()
 		for _, r := range readers {
-			r.set(func(n *testNode) { n.replyDelay = 1200 * time.Millisecond }) // a request may still be answered within its timeout
+			// A request may still be answered within its timeout.
+			r.set(func(n *testNode) { n.replyDelay = 1200 * time.Millisecond })
 		}
 		time.Sleep(10 * time.Second)
 		for edition := uint64(2); edition < 40; edition++ {
