--- a/internal/routing/candidate.go
+++ b/internal/routing/candidate.go
@@ -8,46 +8,53 @@
 	"github.com/walldrift/walldrift/internal/snapshot"
 )
 
-// Candidate is one upstream of a service with the verdict on it.
+// Candidate is one upstream of a service and the result of its evaluation for a request.
 type Candidate struct {
 	Upstream *snapshot.Upstream
 	Instance membership.Instance
 	Excluded Exclusion
-	// Weight is the table's weight times slow start and distance.
+	// Weight is the weight in the table times the slow-start factor and the locality
+	// factor.
 	Weight float64
-	// Cost is the estimated load over the slots, or the expected seconds with
-	// Config.ByTime; the lesser is chosen.
+	// Cost is the estimated number of requests per slot or, with Config.ByExpectedTime,
+	// the expected seconds until the response. The candidate with the lower cost is
+	// chosen.
 	Cost float64
-	// Wait is the time that a request is expected to wait for a slot, by news
-	// that is at most waitMemory old; 0 if there is none.
+	// Wait is the time that a request is expected to wait for a slot, from a load report
+	// no older than waitReportTTL; 0 if there is none.
 	Wait time.Duration
-	// Late says that the request is more likely late than not there.
+	// Late reports whether the request would more likely than not miss its objective
+	// deadline at this upstream.
 	Late bool
-	// TimeLeft is the time to the objective of the request, less that of the way.
+	// TimeLeft is the time until the objective deadline, less the network time to the
+	// upstream and back.
 	TimeLeft time.Duration
-	// MaxWait is how long the request may wait there for a slot; 0 means any
-	// time.
+	// MaxWait is how long the request may wait for a slot at the upstream; 0 means no
+	// limit.
 	MaxWait time.Duration
-	// Trial says that nothing recent is known of the upstream.
+	// Trial reports whether there is no recent load report of the upstream, so that it is
+	// due for a request that yields one.
 	Trial bool
 }
 
-// Request is what the choice depends on.
+// Request holds the properties of a request that the choice depends on.
 type Request struct {
 	Service *snapshot.Service
-	Pinned  string   // the one upstream that may run it; empty for any
+	Pinned  string   // the only upstream that may run the request; empty for any
 	Tried   []string // upstreams already tried for this request
-	Kind    string   // class of request, for the wait told of it
-	// ObjectiveDeadline is when the request should be answered; zero if it has no objective.
+	Kind    string   // request kind, for which waits and run times are reported
+	// ObjectiveDeadline is when the request should be answered; zero if it has no
+	// objective.
 	ObjectiveDeadline time.Time
-	// CallerRetry says that it was refused before and came back.
+	// CallerRetry reports whether the caller sends the request again after a refusal.
 	CallerRetry bool
 }
 
-// Exclusion says why an upstream gets no request now.
+// Exclusion is the reason why an upstream gets no requests now; empty if it may get them.
 type Exclusion string
 
-// The exclusions. Soft ones are given up when nothing else is left.
+// The exclusions. The soft ones are ignored if they cover too much of the service's
+// weight (Config.PanicShare).
 const (
 	Eligible        Exclusion = ""
 	NotListed       Exclusion = "not in the instance list"
@@ -66,8 +73,9 @@
 
 func (x Exclusion) soft() bool { return x == Ejected || x == Unresponsive || x == SuspectInstance }
 
-// judge fills in the verdict on the upstream of a candidate.
-func (r *Router) judge(c *Candidate, now time.Time, req Request, members Members) {
+// evaluate fills in the weight, the cost and the exclusion of a candidate whose upstream
+// is set.
+func (r *Router) evaluate(c *Candidate, now time.Time, req Request, members Members) {
 	u := c.Upstream
 	m, ok := members(u.Name)
 	if !ok {
@@ -75,56 +83,58 @@
 		return
 	}
 	c.Instance = m.Instance
-	e := r.of(now, m)
-	c.Weight = u.Weight * e.ramp(r.cfg, now) * r.distance(m.Instance)
-	slots := float64(max(u.Concurrency, e.told.Slots, 1))
-	c.Cost = (e.busy(r.cfg, now) + 1) / slots
+	s := r.stateOf(now, m)
+	c.Weight = u.Weight * s.slowStartFactor(r.cfg, now) * r.localityFactor(m.Instance)
+	slots := float64(max(u.Concurrency, s.load.Slots, 1))
+	c.Cost = (s.estimatedRequests(r.cfg, now) + 1) / slots
 	if r.cfg.ByExpectedTime {
-		c.aim(now, e, req, slots)
-		c.Wait = e.wait(now, overload.QueueKind(req.Kind, c.Late))
-		c.Cost = r.expected(e, c.Cost, slots, c.Wait, m.Instance) + e.wayTime(now)
-		c.Trial = e.unexplored(now)
+		c.applyObjective(now, s, req, slots)
+		c.Wait = s.expectedWait(now, overload.QueueKind(req.Kind, c.Late))
+		c.Cost = r.expectedSeconds(s, c.Cost, slots, c.Wait, m.Instance) + s.expectedNetworkTime(now)
+		c.Trial = s.dueForTrial(now)
 	}
-	c.Excluded = r.exclusion(now, u, m, e, req)
+	c.Excluded = r.exclusion(now, u, m, s, req)
 }
 
-// aim works out whether the request can be in time at the upstream and how long
-// it may wait there.
-func (c *Candidate) aim(now time.Time, e *evidence, req Request, slots float64) {
+// applyObjective works out whether the request can meet its objective deadline at the
+// upstream, and how long it may wait for a slot there. Without an objective nothing is
+// set.
+func (c *Candidate) applyObjective(now time.Time, s *upstreamState, req Request, slots float64) {
 	if req.ObjectiveDeadline.IsZero() {
 		return
 	}
-	runs := e.runTimes(now, req.Kind)
-	c.TimeLeft = req.ObjectiveDeadline.Sub(now) - time.Duration(e.wayTime(now)*float64(time.Second))
+	runs := s.recentRunTimes(now, req.Kind)
+	c.TimeLeft = req.ObjectiveDeadline.Sub(now) - time.Duration(s.expectedNetworkTime(now)*float64(time.Second))
 	c.Late = overload.Late(req.CallerRetry, c.TimeLeft, runs.Typical)
-	slotEvery := time.Duration(float64(e.told.Service) / slots)
+	slotEvery := time.Duration(float64(s.load.Service) / slots)
 	c.MaxWait = max(overload.MaxWait(c.TimeLeft, runs.Safe, slotEvery, c.Late), time.Millisecond)
 }
 
-// expected estimates the seconds that a request takes at an upstream: its
-// service time, which grows as its slots fill, the wait behind those that have
-// none, and what fails there and has to be done again.
-func (r *Router) expected(e *evidence, load, slots float64, wait time.Duration, in membership.Instance) float64 {
-	service := e.told.Service.Seconds()
+// expectedSeconds estimates how long a request takes at an upstream: its service time,
+// which grows as the slots fill up, the wait for a slot, and the retries after failures.
+// utilisation is the number of requests per slot.
+func (r *Router) expectedSeconds(s *upstreamState, utilisation, slots float64, wait time.Duration, in membership.Instance) float64 {
+	service := s.load.Service.Seconds()
 	if service == 0 {
-		service = r.typical(in.Service)
+		service = r.typicalServiceTime(in.Service)
 	}
-	busy := min(load, 1)
-	queued := max(service*max(0, load*slots-slots)/slots, wait.Seconds())
+	busy := min(utilisation, 1)
+	queued := max(service*max(0, utilisation*slots-slots)/slots, wait.Seconds())
 	seconds := service*(1+busy*busy) + queued
 	if in.DataCentre != r.self.DataCentre {
-		// The price fades as slots fill: where all are full, waits alone decide.
+		// The extra cost shrinks as slots fill up, so that only the expected wait decides
+		// once all slots are in use.
 		seconds += service * r.cfg.CrossDataCentreCost * (1 - busy*busy)
 	}
-	works := max(1-e.failure, leastWorking)
-	return seconds / (works * works)
+	successRate := max(1-s.failureRate, minSuccessRate)
+	return seconds / (successRate * successRate)
 }
 
-// leastWorking bounds how much worse failures make an upstream look, so that
-// it still gets the odd request and can show that it is well again.
-const leastWorking = 0.15
+// minSuccessRate limits how much failures raise the cost of an upstream, so that it still
+// gets an occasional request by which its recovery can be seen.
+const minSuccessRate = 0.15
 
-func (r *Router) exclusion(now time.Time, u *snapshot.Upstream, m membership.Member, e *evidence, req Request) Exclusion {
+func (r *Router) exclusion(now time.Time, u *snapshot.Upstream, m membership.Member, s *upstreamState, req Request) Exclusion {
 	switch {
 	case req.Pinned != "" && req.Pinned != u.Name:
 		return NotPinned
@@ -132,21 +142,21 @@
 		return ZeroWeight
 	case m.Status == membership.Gone:
 		return InstanceGone
-	case m.Status == membership.Leaving || e.toldDraining(r.cfg, now):
+	case m.Status == membership.Leaving || s.reportsDraining(r.cfg, now):
 		return InstanceLeaving
 	case m.Evacuated:
 		return Evacuated
 	case contains(req.Tried, u.Name):
 		return AlreadyTried
-	case now.Before(e.denied):
+	case now.Before(s.wrongInstanceUntil):
 		return WrongInstance
-	case r.coldFull(now, e, m):
+	case r.coldLimitReached(now, s, m):
 		return ColdFull
 	case m.Status == membership.Suspect:
 		return SuspectInstance
-	case e.isEjected(now):
+	case s.isEjected(now):
 		return Ejected
-	case e.isSilent(r.cfg, now):
+	case s.isUnresponsive(r.cfg, now):
 		return Unresponsive
 	}
 	return Eligible
@@ -161,20 +171,20 @@
 	return false
 }
 
-// distance factors on the weight: another data centre of the region costs
-// little, another region much.
+// Locality factors on the weight. Another data centre of the same region costs little,
+// another region much.
 const (
-	nearFactor   = 1.0
-	regionFactor = 0.9
-	farFactor    = 0.02
+	sameDataCentreFactor = 1.0
+	sameRegionFactor     = 0.9
+	otherRegionFactor    = 0.02
 )
 
-func (r *Router) distance(in membership.Instance) float64 {
+func (r *Router) localityFactor(in membership.Instance) float64 {
 	switch {
 	case in.DataCentre == r.self.DataCentre:
-		return nearFactor
+		return sameDataCentreFactor
 	case in.Region == r.self.Region:
-		return regionFactor
+		return sameRegionFactor
 	}
-	return farFactor
+	return otherRegionFactor
 }
--- a/internal/routing/cold_test.go
+++ b/internal/routing/cold_test.go
@@ -10,13 +10,14 @@
 	"github.com/walldrift/walldrift/internal/membership"
 )
 
-// coldBeds are the routers of many nodes that send to one service.
-func coldBeds(nodes, upstreams, cold int, rate float64) []*bed {
+// newColdTestbeds returns the routers of many nodes that send to one service, some of
+// whose upstreams are cold.
+func newColdTestbeds(nodes, upstreams, cold int, rate float64) []*testbed {
 	cfg := DefaultConfig()
 	cfg.ByExpectedTime, cfg.ColdFromMembers = true, true
-	beds := make([]*bed, nodes)
+	beds := make([]*testbed, nodes)
 	for i := range beds {
-		b := newBedWith(cfg, upstreams)
+		b := newTestbedWith(cfg, upstreams)
 		b.router.self.Name = fmt.Sprintf("node%d", i)
 		for n := range cold {
 			name := fmt.Sprintf("u%d", n)
@@ -29,12 +30,12 @@
 	return beds
 }
 
-// Half of the upstreams of a service are cold at once and 88 nodes send to it, 1,000
-// requests a second in all: together they send each cold one what it bears, whatever
-// each of them knows, and the rest to the warm ones.
+// Half of the upstreams of a service cold-start at once while 88 nodes send it 1,000
+// requests a second in total. The nodes know nothing of each other's requests, but
+// together they must not send a cold upstream more than its cold rate.
 func TestColdUpstreamsGetTheirShareOfAllNodes(t *testing.T) {
 	const nodes, rate, seconds = 88, 14.0, 3
-	beds := coldBeds(nodes, 32, 16, rate)
+	beds := newColdTestbeds(nodes, 32, 16, rate)
 	sent := make(map[string]int)
 	for step := range 1000 * seconds {
 		b := beds[step%nodes]
@@ -47,15 +48,15 @@
 	}
 	for n := range 16 {
 		got := float64(sent[fmt.Sprintf("u%d", n)]) / seconds
-		assert.Assert(t, got <= 1.25*rate, "%v a second to a cold upstream that bears %v", got, rate)
+		assert.Assert(t, got <= 1.25*rate, "%v requests per second to a cold upstream with a limit of %v", got, rate)
 	}
 }
 
-// Where all upstreams are cold, what they bear is sent and the rest is refused before
-// it is handed over, with the time at which one may take it.
+// If all upstreams are cold, only their cold rate is sent. The rest is refused at the
+// sending node, with the time until an upstream may take a request.
 func TestAllColdRefusesTheRest(t *testing.T) {
 	const nodes, rate = 20, 14.0
-	beds := coldBeds(nodes, 4, 4, rate)
+	beds := newColdTestbeds(nodes, 4, 4, rate)
 	sent, refused := 0, 0
 	for step := range 3000 {
 		b := beds[step%nodes]
@@ -63,7 +64,7 @@
 		c, ok := b.pick()
 		if !ok {
 			refused++
-			assert.Assert(t, c.Wait > 0 && c.Wait <= 3*time.Second, "told to wait %v", c.Wait)
+			assert.Assert(t, c.Wait > 0 && c.Wait <= 3*time.Second, "wait of %v", c.Wait)
 			continue
 		}
 		sent++
@@ -73,51 +74,52 @@
 	assert.Assert(t, sent <= 4*rate*3*1.25 && sent >= 4*rate*3*0.75, "%d sent, %d refused", sent, refused)
 }
 
-// The word of its node counts over what is published before: an upstream that says it
-// is warm gets all, and one that says it is cold gets its share.
-func TestNodesWordOnColdCounts(t *testing.T) {
+// A load report takes precedence over the published cold period: an upstream that reports
+// that it is warm gets all requests, one that reports that it is cold gets its share.
+func TestLoadReportOverridesPublishedCold(t *testing.T) {
 	cfg := DefaultConfig()
 	cfg.ByExpectedTime, cfg.ColdFromMembers = true, true
-	b := newBedWith(cfg, 1)
+	b := newTestbedWith(cfg, 1)
 	m := b.members["u0"]
 	m.ColdFrom, m.ColdUntil, m.ColdRate = epoch, epoch.Add(3*time.Second), 0.001
 	b.members["u0"] = m
 	_, ok := b.pick()
 	assert.Assert(t, !ok, "published as cold")
-	told := func(cold time.Duration) {
+	report := func(cold time.Duration) {
 		b.router.Start(b.now, membership.Instance{Name: "u0"})
 		b.router.End(b.now, b.rnd, "u0", Outcome{Load: &LoadReport{Slots: 4, Cold: cold}})
 	}
-	told(0)
+	report(0)
 	for range 5 {
 		_, ok = b.pick()
-		assert.Assert(t, ok, "told as warm")
+		assert.Assert(t, ok, "reported as warm")
 	}
-	told(2 * time.Second)
+	report(2 * time.Second)
 	_, ok = b.pick()
-	assert.Assert(t, !ok, "told as cold")
+	assert.Assert(t, !ok, "reported as cold")
 	b.now = b.now.Add(2 * time.Second)
 	_, ok = b.pick()
 	assert.Assert(t, ok, "warm again")
 }
 
 func TestColdInstanceStartsSlowly(t *testing.T) {
-	b := newBed(2)
+	b := newTestbed(2)
 	b.pick()
 	m := b.members["u1"]
 	m.Generation = uint64(b.now.UnixMilli())
 	b.members["u1"] = m
-	cold := b.share(5000)["u1"]
+	cold := b.pickCounts(5000)["u1"]
 	b.now = b.now.Add(DefaultConfig().SlowStart)
-	warm := b.share(5000)["u1"]
+	warm := b.pickCounts(5000)["u1"]
 	assert.Assert(t, cold < 1200 && warm > 2300, "cold %d, warm %d", cold, warm)
 }
 
-// A cold upstream's share grows from when it was first heard of.
-func TestColdUpstreamIsTold(t *testing.T) {
+// The slow start of an upstream counts from the start time in the membership data, not
+// from when the node first sees the upstream.
+func TestSlowStartFollowsMembers(t *testing.T) {
 	cfg := DefaultConfig()
 	cfg.ColdFromMembers = true
-	b := newBedWith(cfg, 2)
+	b := newTestbedWith(cfg, 2)
 	m := b.members["u1"]
 	m.Generation, m.ColdSince = uint64(b.now.UnixMilli()), b.now.Add(-cfg.SlowStart/2)
 	b.members["u1"] = m
--- a/internal/routing/pick.go
+++ b/internal/routing/pick.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// relent gives up the soft exclusions when they cover more than PanicShare of
-// the weight: then the evidence is more likely wrong than all the upstreams.
-func (r *Router) relent(all []Candidate) {
+// applyPanicThreshold removes the soft exclusions if they cover at least PanicShare of
+// the weight: the failure detection is then more likely wrong than all the upstreams.
+func (r *Router) applyPanicThreshold(all []Candidate) {
 	eligible, soft := 0.0, 0.0
 	for i := range all {
 		c := &all[i]
@@ -28,11 +28,12 @@
 	}
 }
 
-// Pick chooses an upstream: two are drawn by weight, the one with the lesser
-// cost wins. It returns false if none may be used, with the time until a cold one may
-// be, if there is one.
+// Pick chooses an upstream: it draws two by weight and returns the one with the lower
+// cost, or returns the one with the least expected time if Config.ByExpectedTime is set.
+// It returns false if no upstream may be used; Wait of the candidate is then the time
+// until a cold upstream may get a request, 0 if none is cold.
 func (r *Router) Pick(now time.Time, rnd *rand.Rand, req Request, members Members) (Candidate, bool) {
-	r.scratch = r.consider(r.scratch[:0], now, rnd, req, members)
+	r.scratch = r.sampleCandidates(r.scratch[:0], now, rnd, req, members)
 	all := r.scratch
 	total := 0.0
 	usable := all[:0]
@@ -48,35 +49,35 @@
 	}
 	switch len(usable) {
 	case 0:
-		return Candidate{Wait: r.coldWait(now, all, members)}, false
+		return Candidate{Wait: r.untilColdAllowance(now, all, members)}, false
 	case 1:
 		return usable[0], true
 	}
 	if r.cfg.ByExpectedTime {
-		return least(rnd, usable), true
+		return leastCost(rnd, usable), true
 	}
-	a := draw(rnd, usable, total, -1)
-	b := draw(rnd, usable, total-usable[a].Weight, a)
+	a := drawWeighted(rnd, usable, total, -1)
+	b := drawWeighted(rnd, usable, total-usable[a].Weight, a)
 	if usable[b].Cost < usable[a].Cost {
 		a = b
 	}
 	return usable[a], true
 }
 
-// costNoise spreads choices among upstreams of nearly the same cost, so that
-// nodes with the same news do not all choose the same one.
+// costNoise is the random relative increase of costs that spreads choices over upstreams
+// of nearly equal cost, so that nodes with the same load reports don't all choose the
+// same upstream.
 const costNoise = 0.15
 
-// trialChance is the share of the requests that go to an upstream of which
-// nothing recent is known, as long as there is one: within a few requests, but
-// not from all nodes at once.
-const trialChance = 0.2
+// trialShare is the share of the requests that go to an upstream without a recent load
+// report while there is one: within a few requests, but not from all nodes at once.
+const trialShare = 0.2
 
-// least returns the candidate with the least cost for its weight, or one to try
-// out.
-func least(rnd *rand.Rand, cs []Candidate) Candidate {
+// leastCost returns the candidate with the lowest cost relative to its weight or, at
+// random, one that is due for a trial.
+func leastCost(rnd *rand.Rand, cs []Candidate) Candidate {
 	best, at := 0.0, -1
-	trial := rnd.Float64() < trialChance
+	trial := rnd.Float64() < trialShare
 	for i := range cs {
 		c := &cs[i]
 		if c.Trial && trial {
@@ -90,8 +91,8 @@
 	return cs[at]
 }
 
-// prefer returns the candidates that are good, moved to the front of cs, or all if
-// none is.
+// prefer returns the candidates for which good is true, moved to the front of cs, or all
+// if there is none.
 func prefer(cs []Candidate, good func(*Candidate) bool) []Candidate {
 	some := 0
 	for i := range cs {
@@ -109,8 +110,9 @@
 	return cs[:some]
 }
 
-// draw returns an index by weight, leaving out skip.
-func draw(rnd *rand.Rand, cs []Candidate, total float64, skip int) int {
+// drawWeighted draws the index of a candidate at random by weight, other than skip. total
+// is the sum of the weights without that of skip.
+func drawWeighted(rnd *rand.Rand, cs []Candidate, total float64, skip int) int {
 	at := rnd.Float64() * total
 	last := 0
 	for i := range cs {
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -8,62 +8,63 @@
 	"github.com/walldrift/walldrift/internal/overload"
 )
 
-// Members looks up the instance behind an upstream name.
+// Members looks up the instance of an upstream by its name.
 type Members func(name string) (membership.Member, bool)
 
-// Router keeps the evidence of one node. It is not safe for concurrent use.
+// Router chooses upstreams for one node and keeps what the node has observed of them. It
+// is not safe for concurrent use.
 type Router struct {
-	cfg      Config
-	self     membership.Instance
-	evidence map[string]*evidence
-	// scratch holds the candidates of one choice after the other, so that a choice
-	// among 108 upstreams leaves no garbage in place of 65 KB (BenchmarkPick).
-	scratch []Candidate
-	choices map[string]*choices // by service
-	// typicals are the service times told by the upstreams of a service, smoothed, in
-	// seconds.
-	typicals map[string]float64
-	quickest map[string]favourites // of the own data centre, by service
+	cfg       Config
+	self      membership.Instance
+	upstreams map[string]*upstreamState
+	// scratch is the buffer for the candidates of a choice, reused so that a choice among
+	// 108 upstreams doesn't allocate 65 KB (BenchmarkPick).
+	scratch        []Candidate
+	choiceCounters map[string]*choiceCounter // by service
+	// serviceTimes holds the mean reported service time over the upstreams of each
+	// service, smoothed, in seconds.
+	serviceTimes map[string]float64
+	fastest      map[string]fastUpstreams // by service, of the own data centre only
 }
 
-// NewRouter returns a router of the instance self without evidence.
+// NewRouter returns a router for the instance self that has observed nothing yet.
 func NewRouter(cfg Config, self membership.Instance) *Router {
-	return &Router{cfg: cfg, self: self, evidence: make(map[string]*evidence), choices: make(map[string]*choices), typicals: make(map[string]float64), quickest: make(map[string]favourites)}
+	return &Router{cfg: cfg, self: self, upstreams: make(map[string]*upstreamState), choiceCounters: make(map[string]*choiceCounter), serviceTimes: make(map[string]float64), fastest: make(map[string]fastUpstreams)}
 }
 
-// Candidates returns every upstream of the service with the reason it is left
-// out, if it is.
+// Candidates returns every upstream of the service with its exclusion, if it has one.
 func (r *Router) Candidates(now time.Time, req Request, members Members) []Candidate {
 	return r.appendCandidates(make([]Candidate, 0, len(req.Service.Upstreams)), now, req, members)
 }
 
-// appendCandidates appends them to out, which is empty.
+// appendCandidates appends all upstreams of the service to out, which must be empty.
 func (r *Router) appendCandidates(out []Candidate, now time.Time, req Request, members Members) []Candidate {
 	for _, u := range req.Service.Upstreams {
 		out = append(out, Candidate{Upstream: u})
-		r.judge(&out[len(out)-1], now, req, members)
+		r.evaluate(&out[len(out)-1], now, req, members)
 	}
-	r.relent(out)
+	r.applyPanicThreshold(out)
 	return out
 }
 
-// of returns the evidence about an instance. A later process under the same name
-// starts anew: nothing that was met of the earlier one says anything of it, and
-// what still waits for that one takes no slot of this one.
-func (r *Router) of(now time.Time, m membership.Member) *evidence {
-	e, ok := r.evidence[m.Name]
-	if ok && e.generation >= m.Generation {
-		return e
+// stateOf returns the state of an instance's upstream. A later process under the same
+// name gets a new state: nothing observed of an earlier process applies to it, and
+// requests still in flight to that one occupy no slots of the new one.
+func (r *Router) stateOf(now time.Time, m membership.Member) *upstreamState {
+	s, ok := r.upstreams[m.Name]
+	if ok && s.generation >= m.Generation {
+		return s
 	}
-	next := &evidence{service: m.Service, near: m.DataCentre == r.self.DataCentre, generation: m.Generation, unanswered: now, firstSeen: r.coldFrom(now, m, ok)}
-	r.evidence[m.Name] = next
+	next := &upstreamState{service: m.Service, sameDataCentre: m.DataCentre == r.self.DataCentre, generation: m.Generation, waitingSince: now, slowStartAt: r.slowStartTime(now, m, ok)}
+	r.upstreams[m.Name] = next
 	return next
 }
 
-// coldFrom is when an instance started as a cold one; zero if it is warm. known
-// says that an earlier process under its name was met. One met for the first time
-// by this node is not taken for cold unless it started a short while ago.
-func (r *Router) coldFrom(now time.Time, m membership.Member, known bool) time.Time {
+// slowStartTime returns when the slow start of an instance began; zero if it is warm.
+// known reports whether an earlier process of the same name was observed. An instance
+// that this node sees for the first time isn't treated as cold unless it started less
+// than Config.SlowStart ago.
+func (r *Router) slowStartTime(now time.Time, m membership.Member, known bool) time.Time {
 	started := m.ColdSince
 	if !r.cfg.ColdFromMembers {
 		started = time.UnixMilli(int64(m.Generation))
@@ -79,121 +80,126 @@
 
 // Start counts a request sent to an instance.
 func (r *Router) Start(now time.Time, in membership.Instance) {
-	e, ok := r.evidence[in.Name]
-	if !ok || in.Generation < e.generation {
+	s, ok := r.upstreams[in.Name]
+	if !ok || in.Generation < s.generation {
 		return
 	}
-	if e.inFlight == 0 {
-		e.unanswered = now
+	if s.inFlight == 0 {
+		s.waitingSince = now
 	}
-	e.inFlight++
-	e.allowance.spend()
+	s.inFlight++
+	s.allowance.spend()
 }
 
-// ResponseStarted notes that an upstream answered a request, which may go on.
+// ResponseStarted records that an upstream has sent a response to a request, which may
+// still be in progress.
 func (r *Router) ResponseStarted(now time.Time, name string) {
-	if e, ok := r.evidence[name]; ok {
-		e.unanswered = now
+	if s, ok := r.upstreams[name]; ok {
+		s.waitingSince = now
 	}
 }
 
-// Outcome is how a request to an upstream ended, as evidence.
+// Outcome is how a request to an upstream ended.
 type Outcome struct {
-	// Generation is that of the instance to which the request was sent; 0 if it is
-	// not known. An earlier one than the present tells nothing of this.
+	// Generation is the generation of the instance that the request was sent to; 0 if
+	// unknown. Outcomes of an earlier generation than the present one are ignored.
 	Generation uint64
-	// Failed says that the upstream or the way to it failed; a refusal for
-	// want of a slot is no failure.
+	// Failed reports whether the upstream or the connection to it failed. A refusal for
+	// lack of a slot is not a failure.
 	Failed bool
-	// WrongInstance says that the address answered for another instance, so that the
-	// one asked for has ended.
+	// WrongInstance reports whether the address answered for another instance, which
+	// means that the requested instance has ended.
 	WrongInstance bool
-	Latency       time.Duration // time to the answer; 0 if there was none
-	Load          *LoadReport   // what its node said with the answer; nil if nothing
-	Kind          string        // class of the request
-	Late          bool          // the request waited among the late ones
-	// NetworkTime is the part of Latency that was spent neither at the node nor at the
-	// upstream; 0 if it is not known.
+	Latency       time.Duration // time to the response; 0 if there was none
+	Load          *LoadReport   // nil if the response had none
+	Kind          string        // request kind
+	Late          bool          // the request was queued as a late one
+	// NetworkTime is the part of Latency spent neither at the node nor at the upstream; 0
+	// if unknown.
 	NetworkTime time.Duration
 }
 
-// latencySmoothing is the weight of the newest latency.
+// latencySmoothing is the weight of the latest latency in the smoothed one.
 const latencySmoothing = 0.1
 
-// End counts the end of a request that Start counted.
+// End records the outcome of a request that Start counted.
 func (r *Router) End(now time.Time, rnd *rand.Rand, name string, o Outcome) {
-	e, ok := r.evidence[name]
-	if !ok || o.Generation != 0 && o.Generation < e.generation {
+	s, ok := r.upstreams[name]
+	if !ok || o.Generation != 0 && o.Generation < s.generation {
 		return
 	}
-	e.inFlight = max(0, e.inFlight-1)
+	s.inFlight = max(0, s.inFlight-1)
 	if o.WrongInstance {
-		e.denied = now.Add(deniedMemory)
+		s.wrongInstanceUntil = now.Add(wrongInstanceTTL)
 	}
-	e.observe(r.cfg, now, rnd, o.Failed)
+	s.observeOutcome(r.cfg, now, rnd, o.Failed)
 	if !o.Failed {
-		e.unanswered = now
+		s.waitingSince = now
 	}
 	if o.Load != nil {
-		r.noteTypical(e.service, o.Load.Service)
-		r.noteFavourite(e, name, o)
-		e.told, e.toldAt, e.toldFlight = *o.Load, now, e.inFlight
-		e.noteWait(now, overload.QueueKind(o.Kind, o.Late), o.Load.Wait)
-		e.noteRuns(now, o.Kind, o.Load.Runs)
+		r.observeServiceTime(s.service, o.Load.Service)
+		r.updateFastest(s, name, o)
+		s.load, s.loadAt, s.inFlightAtLoad = *o.Load, now, s.inFlight
+		s.recordWait(now, overload.QueueKind(o.Kind, o.Late), o.Load.Wait)
+		s.recordRunTimes(now, o.Kind, o.Load.Runs)
 	}
 	if o.NetworkTime > 0 {
-		e.noteWay(now, o.NetworkTime)
+		s.observeNetworkTime(now, o.NetworkTime)
 	}
 	if o.Latency > 0 {
-		e.latency += latencySmoothing * (o.Latency.Seconds() - e.latency)
+		s.latency += latencySmoothing * (o.Latency.Seconds() - s.latency)
 	}
 }
 
-// Prune forgets the evidence about upstreams that keep says are no more.
+// Prune drops the state of upstreams for which keep returns false, except while requests
+// to them are in flight.
 func (r *Router) Prune(keep func(name string) bool) {
-	for name, e := range r.evidence {
-		if e.inFlight == 0 && !keep(name) {
-			delete(r.evidence, name)
+	for name, s := range r.upstreams {
+		if s.inFlight == 0 && !keep(name) {
+			delete(r.upstreams, name)
 		}
 	}
 }
 
-// typicalSmoothing is the weight of the newest service time among those of all upstreams of
-// a service.
-const typicalSmoothing = 0.05
+// serviceTimeSmoothing is the weight of the latest report in the mean service time of a
+// service.
+const serviceTimeSmoothing = 0.05
 
-// noteTypical takes a told service time into the typical one of a service.
-func (r *Router) noteTypical(service string, told time.Duration) {
-	if told <= 0 {
+// observeServiceTime adds a reported service time to the mean of a service.
+func (r *Router) observeServiceTime(service string, reported time.Duration) {
+	if reported <= 0 {
 		return
 	}
-	old, ok := r.typicals[service]
+	old, ok := r.serviceTimes[service]
 	if !ok {
-		old = told.Seconds()
+		old = reported.Seconds()
 	}
-	r.typicals[service] = old + typicalSmoothing*(told.Seconds()-old)
+	r.serviceTimes[service] = old + serviceTimeSmoothing*(reported.Seconds()-old)
 }
 
-// unknownService stands for the service time of a service of which no node has told any yet.
-const unknownService = 0.1
+// defaultServiceTime, in seconds, is used for a service without any reported service
+// time.
+const defaultServiceTime = 0.1
 
-// typical is the service time of an upstream that has told none, in seconds.
-func (r *Router) typical(service string) float64 {
-	if t, ok := r.typicals[service]; ok {
+// typicalServiceTime returns the mean service time of a service, in seconds, for
+// upstreams that have reported none.
+func (r *Router) typicalServiceTime(service string) float64 {
+	if t, ok := r.serviceTimes[service]; ok {
 		return t
 	}
-	return unknownService
+	return defaultServiceTime
 }
 
-// noteFavourite takes an outcome over into the favourites of the service.
-func (r *Router) noteFavourite(e *evidence, name string, o Outcome) {
-	if !e.near {
+// updateFastest updates the fastest upstreams of the service from the outcome of a
+// request, which must have a load report.
+func (r *Router) updateFastest(s *upstreamState, name string, o Outcome) {
+	if !s.sameDataCentre {
 		return
 	}
-	known := r.quickest[e.service]
+	known := r.fastest[s.service]
 	if o.Failed || o.Load.Service <= 0 {
-		r.quickest[e.service] = known.without(name)
+		r.fastest[s.service] = known.without(name)
 		return
 	}
-	r.quickest[e.service] = known.note(name, o.Load.Service)
+	r.fastest[s.service] = known.update(name, o.Load.Service)
 }
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -16,8 +16,8 @@
 
 var epoch = time.Unix(1_700_000_000, 0)
 
-// bed is a router with the members and service that it sees.
-type bed struct {
+// testbed is a router with the members and the service that it sees.
+type testbed struct {
 	router  *Router
 	service *snapshot.Service
 	members map[string]membership.Member
@@ -25,10 +25,10 @@
 	now     time.Time
 }
 
-func newBed(n int) *bed { return newBedWith(DefaultConfig(), n) }
+func newTestbed(n int) *testbed { return newTestbedWith(DefaultConfig(), n) }
 
-func newBedWith(cfg Config, n int) *bed {
-	b := &bed{
+func newTestbedWith(cfg Config, n int) *testbed {
+	b := &testbed{
 		router:  NewRouter(cfg, membership.Instance{Name: "self", DataCentre: "dc0", Region: "r0"}),
 		members: make(map[string]membership.Member),
 		rnd:     rand.New(rand.NewPCG(1, 2)),
@@ -44,23 +44,24 @@
 	return b
 }
 
-func (b *bed) lookup(name string) (membership.Member, bool) {
+func (b *testbed) lookup(name string) (membership.Member, bool) {
 	m, ok := b.members[name]
 	return m, ok
 }
 
-func (b *bed) pick(tried ...string) (Candidate, bool) {
+func (b *testbed) pick(tried ...string) (Candidate, bool) {
 	return b.router.Pick(b.now, b.rnd, Request{Service: b.service, Tried: tried, Kind: "k", ObjectiveDeadline: b.now.Add(60 * time.Millisecond)}, b.lookup)
 }
 
-func (b *bed) setStatus(name string, st membership.Status) {
+func (b *testbed) setStatus(name string, st membership.Status) {
 	m := b.members[name]
 	m.Status = st
 	b.members[name] = m
 }
 
-// share counts picks of each upstream over n requests that end at once.
-func (b *bed) share(n int) map[string]int {
+// pickCounts makes n choices without starting requests and returns how often each
+// upstream was chosen.
+func (b *testbed) pickCounts(n int) map[string]int {
 	got := make(map[string]int)
 	for range n {
 		c, ok := b.pick()
@@ -72,23 +73,23 @@
 	return got
 }
 
-// TestRouterAgainstOracle drives a router at random. Oracle: the
-// hard exclusions, written out once more; and as long as one upstream may be
-// used, one is found, however bad the evidence.
+// TestRouterAgainstOracle drives a router with random operations. The oracle is a second
+// implementation of the hard exclusions: an excluded upstream is never chosen, and as
+// long as one upstream is usable a choice succeeds, whatever failures were observed.
 func TestRouterAgainstOracle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := DefaultConfig()
 		cfg.ByExpectedTime = rapid.Bool().Draw(t, "by time")
 		cfg.DrainReportLifetime = rapid.SampledFrom([]time.Duration{time.Second, 10 * time.Second}).Draw(t, "drain memory")
-		b := newBedWith(cfg, rapid.IntRange(1, 5).Draw(t, "upstreams"))
+		b := newTestbedWith(cfg, rapid.IntRange(1, 5).Draw(t, "upstreams"))
 		name := rapid.Map(rapid.IntRange(0, len(b.service.Upstreams)-1), func(i int) string { return fmt.Sprintf("u%d", i) })
 		draining := make(map[string]time.Time)
 		flight := make(map[string]int)
 		forbidden := func(n string) bool {
 			m, ok := b.members[n]
-			at, told := draining[n]
+			at, reported := draining[n]
 			return !ok || m.Evacuated || m.Status == membership.Gone || m.Status == membership.Leaving ||
-				(told && b.now.Sub(at) < cfg.DrainReportLifetime) || weight(b, n) == 0
+				(reported && b.now.Sub(at) < cfg.DrainReportLifetime) || weight(b, n) == 0
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"pick": func(t *rapid.T) {
@@ -110,16 +111,16 @@
 					t.Skip("none in flight")
 				}
 				flight[n]--
-				told := &LoadReport{
+				report := &LoadReport{
 					InUse:    rapid.IntRange(0, 9).Draw(t, "in use"),
 					Slots:    4,
 					Service:  time.Duration(rapid.IntRange(0, 500).Draw(t, "service")) * time.Millisecond,
 					Wait:     time.Duration(rapid.IntRange(0, 200).Draw(t, "wait")) * time.Millisecond,
-					Draining: rapid.IntRange(0, 9).Draw(t, "drains") == 0,
+					Draining: rapid.IntRange(0, 9).Draw(t, "draining") == 0,
 				}
-				b.router.End(b.now, b.rnd, n, Outcome{Failed: rapid.Bool().Draw(t, "failed"), Load: told, Kind: "k"})
+				b.router.End(b.now, b.rnd, n, Outcome{Failed: rapid.Bool().Draw(t, "failed"), Load: report, Kind: "k"})
 				delete(draining, n)
-				if told.Draining {
+				if report.Draining {
 					draining[n] = b.now
 				}
 			},
@@ -148,7 +149,7 @@
 	})
 }
 
-func weight(b *bed, name string) float64 {
+func weight(b *testbed, name string) float64 {
 	for _, u := range b.service.Upstreams {
 		if u.Name == name {
 			return u.Weight
@@ -158,28 +159,29 @@
 }
 
 func TestSharesFollowWeights(t *testing.T) {
-	b := newBed(3)
+	b := newTestbed(3)
 	b.service.Upstreams[0].Weight = 2
-	got := b.share(8000)
-	// Equal costs: the first drawn wins, so shares follow the weights.
+	got := b.pickCounts(8000)
+	// With equal costs the first one drawn wins, so that the shares follow the weights.
 	assert.Assert(t, got["u0"] > 3700 && got["u0"] < 4300, "%v", got)
 }
 
-func TestFailingUpstreamIsLeftOutAndComesBack(t *testing.T) {
-	b := newBed(4)
+func TestFailingUpstreamIsEjectedAndReturns(t *testing.T) {
+	b := newTestbed(4)
 	for range 10 {
 		b.pick()
 		b.router.Start(b.now, b.members["u1"].Instance)
 		b.router.End(b.now, b.rnd, "u1", Outcome{Failed: true})
 	}
-	assert.Equal(t, b.share(100)["u1"], 0)
+	assert.Equal(t, b.pickCounts(100)["u1"], 0)
 	b.now = b.now.Add(DefaultConfig().EjectCap)
-	assert.Assert(t, b.share(100)["u1"] > 0)
+	assert.Assert(t, b.pickCounts(100)["u1"] > 0)
 }
 
-// One that takes requests and answers none is left before any of them fails.
-func TestSilentUpstreamIsLeftOut(t *testing.T) {
-	b := newBed(4)
+// An upstream that accepts requests and answers none is excluded before any of them
+// fails.
+func TestUnresponsiveUpstreamIsExcluded(t *testing.T) {
+	b := newTestbed(4)
 	b.pick()
 	b.router.Start(b.now, b.members["u1"].Instance)
 	b.router.End(b.now, b.rnd, "u1", Outcome{Latency: 10 * time.Millisecond})
@@ -187,13 +189,13 @@
 	assert.Equal(t, b.excluded("u1"), Eligible)
 	b.now = b.now.Add(DefaultConfig().NoResponseTimeout + 1)
 	assert.Equal(t, b.excluded("u1"), Unresponsive)
-	assert.Equal(t, b.share(100)["u1"], 0)
+	assert.Equal(t, b.pickCounts(100)["u1"], 0)
 	b.router.ResponseStarted(b.now, "u1")
 	assert.Equal(t, b.excluded("u1"), Eligible)
 }
 
-// excluded returns why an upstream is left out now.
-func (b *bed) excluded(name string) Exclusion {
+// excluded returns the present exclusion of an upstream.
+func (b *testbed) excluded(name string) Exclusion {
 	for _, c := range b.router.Candidates(b.now, Request{Service: b.service}, b.lookup) {
 		if c.Upstream.Name == name {
 			return c.Excluded
@@ -203,7 +205,7 @@
 }
 
 func TestPanicServesWhenAllLookBad(t *testing.T) {
-	b := newBed(3)
+	b := newTestbed(3)
 	for _, n := range []string{"u0", "u1", "u2"} {
 		b.pick()
 		for range 10 {
@@ -211,40 +213,40 @@
 			b.router.End(b.now, b.rnd, n, Outcome{Failed: true})
 		}
 	}
-	got := b.share(300)
+	got := b.pickCounts(300)
 	assert.Equal(t, len(got), 3, "%v", got)
 }
 
-// One that looks idle does not draw the whole load.
-func TestNoHerdToTheIdleOne(t *testing.T) {
-	b := newBed(6)
+// The whole load must not go to the one upstream that looks idle.
+func TestIdleUpstreamIsNotOverrun(t *testing.T) {
+	b := newTestbed(6)
 	for i := range 6 {
 		n := fmt.Sprintf("u%d", i)
 		b.pick()
 		b.router.Start(b.now, b.members[n].Instance)
-		told := &LoadReport{InUse: 4, Slots: 4, Waiting: 4}
+		report := &LoadReport{InUse: 4, Slots: 4, Waiting: 4}
 		if i == 0 {
-			told = &LoadReport{Slots: 4}
+			report = &LoadReport{Slots: 4}
 		}
-		b.router.End(b.now, b.rnd, n, Outcome{Load: told})
+		b.router.End(b.now, b.rnd, n, Outcome{Load: report})
 	}
-	got := b.share(6000)["u0"]
-	// Two of six are drawn: at most a third of the picks can go there.
+	got := b.pickCounts(6000)["u0"]
+	// Two of six are drawn: at most a third of the choices can go there.
 	assert.Assert(t, got < 2300, "%d of 6000", got)
 }
 
 func TestOtherRegionsGetLittleWhileNearOnesServe(t *testing.T) {
-	b := newBed(2)
+	b := newTestbed(2)
 	m := b.members["u1"]
 	m.DataCentre, m.Region = "far", "far"
 	b.members["u1"] = m
-	far := b.share(5000)["u1"]
+	far := b.pickCounts(5000)["u1"]
 	assert.Assert(t, far < 250, "%d", far)
 	b.setStatus("u0", membership.Gone)
-	assert.Equal(t, b.share(100)["u1"], 100)
+	assert.Equal(t, b.pickCounts(100)["u1"], 100)
 }
 
-// An upstream that joins, or was slow once, gets a trial request although the
+// An upstream that joins, or that was slow before, gets trial requests although the
 // others look better.
 func TestNewUpstreamGetsATrial(t *testing.T) {
 	cfg := DefaultConfig()
@@ -288,13 +290,13 @@
 	assert.Assert(t, again >= 1)
 }
 
-// An upstream behind a link that is full gets fewer requests than one of equal
-// load, and its share again once the link has drained.
-func TestFullLinkIsLeft(t *testing.T) {
+// An upstream behind a saturated link gets fewer requests than one of equal load, and its
+// share again once the link has drained.
+func TestSaturatedLinkIsAvoided(t *testing.T) {
 	cfg := DefaultConfig()
 	cfg.ByExpectedTime = true
-	b := newBedWith(cfg, 2)
-	share := func(way time.Duration) int {
+	b := newTestbedWith(cfg, 2)
+	share := func(networkTime time.Duration) int {
 		n := 0
 		for range 200 {
 			c, ok := b.pick()
@@ -303,7 +305,7 @@
 			o := Outcome{Latency: 50 * time.Millisecond, NetworkTime: time.Millisecond, Load: &LoadReport{Slots: 4, Service: 50 * time.Millisecond}}
 			if name == "u0" {
 				n++
-				o.NetworkTime = way
+				o.NetworkTime = networkTime
 			}
 			b.router.Start(b.now, b.members[name].Instance)
 			b.now = b.now.Add(5 * time.Millisecond)
@@ -312,64 +314,65 @@
 		return n
 	}
 	before := share(time.Millisecond)
-	full := share(300 * time.Millisecond)
+	saturated := share(300 * time.Millisecond)
 	b.now = b.now.Add(3 * time.Second)
 	after := share(time.Millisecond)
-	assert.Assert(t, before > 60 && after > 60, "%d and %d of 200 with a free link", before, after)
-	assert.Assert(t, full < 20, "%d of 200 over a full link", full)
+	assert.Assert(t, before > 60 && after > 60, "%d and %d of 200 with an idle link", before, after)
+	assert.Assert(t, saturated < 20, "%d of 200 over a saturated link", saturated)
 }
 
-// An upstream whose address answers for another instance gets nothing more, also
-// where it is the only one, until that answer is old.
-func TestDeniedUpstreamIsLeftOut(t *testing.T) {
-	b := newBed(1)
+// An upstream whose address answers for another instance gets no requests for
+// wrongInstanceTTL, even if it is the only one.
+func TestWrongInstanceIsExcluded(t *testing.T) {
+	b := newTestbed(1)
 	c, ok := b.pick()
 	assert.Assert(t, ok)
 	b.router.Start(b.now, c.Instance)
 	b.router.End(b.now, b.rnd, c.Upstream.Name, Outcome{Failed: true, WrongInstance: true})
 	_, ok = b.pick()
 	assert.Assert(t, !ok)
-	b.now = b.now.Add(deniedMemory)
+	b.now = b.now.Add(wrongInstanceTTL)
 	_, ok = b.pick()
 	assert.Assert(t, ok)
 }
 
-// What was met of an upstream's earlier life says nothing of the later one, and
-// ends of requests that were sent to the earlier one change nothing either: it
-// was ejected, silent, denied, draining, full and far, and its successor is not.
-func TestLaterLifeStartsAnew(t *testing.T) {
+// Nothing observed of an earlier process applies to a later one under the same name, and
+// outcomes of requests to the earlier process change nothing either. The earlier process
+// here is ejected, unresponsive, draining and fully loaded, answers for another instance
+// and has a long network time.
+func TestLaterProcessStartsWithNewState(t *testing.T) {
 	cfg := DefaultConfig()
 	cfg.ByExpectedTime, cfg.ColdFromMembers = true, true
-	b := newBedWith(cfg, 2)
+	b := newTestbedWith(cfg, 2)
 	m := b.members["u1"]
 	m.Generation = 100
 	b.members["u1"] = m
 	earlier := m.Instance
 	b.pick()
-	busy := &LoadReport{InUse: 40, Slots: 4, Waiting: 36, Service: time.Second, Wait: 9 * time.Second, Runs: RunTimes{Typical: time.Second, Safe: 2 * time.Second}, Draining: true}
+	report := &LoadReport{InUse: 40, Slots: 4, Waiting: 36, Service: time.Second, Wait: 9 * time.Second, Runs: RunTimes{Typical: time.Second, Safe: 2 * time.Second}, Draining: true}
 	for range 2 * cfg.EjectMin {
 		b.router.Start(b.now, earlier)
-		b.router.End(b.now, b.rnd, "u1", Outcome{Generation: 100, Failed: true, WrongInstance: true, Load: busy, Kind: "k", NetworkTime: time.Second})
+		b.router.End(b.now, b.rnd, "u1", Outcome{Generation: 100, Failed: true, WrongInstance: true, Load: report, Kind: "k", NetworkTime: time.Second})
 	}
 	for range 3 {
-		b.router.Start(b.now, earlier) // and none of these is answered
+		b.router.Start(b.now, earlier) // none of these is answered
 	}
 	b.now = b.now.Add(cfg.NoResponseTimeout + time.Millisecond)
-	verdict := func() Candidate {
+	candidate := func() Candidate {
 		return b.router.Candidates(b.now, Request{Service: b.service, Kind: "k", ObjectiveDeadline: b.now.Add(time.Minute)}, b.lookup)[1]
 	}
-	assert.Equal(t, verdict().Excluded, InstanceLeaving)
+	assert.Equal(t, candidate().Excluded, InstanceLeaving)
 	m.Generation = 200
 	b.members["u1"] = m
 	fresh := b.router.Candidates(b.now, Request{Service: b.service, Kind: "k", ObjectiveDeadline: b.now.Add(time.Minute)}, b.lookup)[0]
 	check := func() {
-		c := verdict()
+		c := candidate()
 		assert.Equal(t, c.Excluded, Eligible)
 		assert.Assert(t, c.Cost == fresh.Cost && c.Wait == 0 && c.Weight == 1, "%+v", c)
 	}
 	check()
 	for range 3 {
-		b.router.End(b.now, b.rnd, "u1", Outcome{Generation: 100, Failed: true, WrongInstance: true, Load: busy, Kind: "k", NetworkTime: time.Second})
+		b.router.End(b.now, b.rnd, "u1", Outcome{Generation: 100, Failed: true, WrongInstance: true, Load: report, Kind: "k", NetworkTime: time.Second})
 	}
 	check()
 	b.router.Start(b.now, earlier) // chosen before the restart was known
--- a/internal/routing/sample.go
+++ b/internal/routing/sample.go
@@ -9,38 +9,42 @@
 )
 
 const (
-	// compareAll is the number of upstreams up to which a choice may compare all: looking
-	// at each takes a few hundred nanoseconds.
-	compareAll = 128
-	// freshShare is the part of the upstreams that a node has to choose within the life of
-	// a told load for all to be compared. With fewer, what it knows of nearly all is old.
-	freshShare = 0.05
-	// compared is the number of usable upstreams that a choice compares among more. With
-	// old news, all nodes that compare all choose the few that once were the quickest; an
-	// upstream that looks best to everybody gets this many times the mean at the most.
-	compared = 3
-	// drawsEach bounds the draws for each of them: where over three quarters may not be
-	// used, further ones are looked for.
-	drawsEach = 4
+	// maxCompareAll is the largest number of upstreams of which a choice may compare all:
+	// evaluating one takes a few hundred nanoseconds.
+	maxCompareAll = 128
+	// minFreshShare is the share of the upstreams that a node must choose within the
+	// lifetime of a load report for all upstreams to be compared. With fewer choices most
+	// of its load reports are out of date.
+	minFreshShare = 0.05
+	// sampleSize is the number of usable upstreams that are compared if there are too
+	// many to compare all. If all nodes compared all upstreams by outdated load reports,
+	// they would choose the same few that once were the fastest. With a sample, an
+	// upstream that looks best to every node gets at most this many times the mean load.
+	sampleSize = 3
+	// drawsPerSample limits the draws for each upstream of the sample. If more than three
+	// quarters of the upstreams are excluded, the sample may stay short and further
+	// upstreams are evaluated.
+	drawsPerSample = 4
 )
 
-// consider appends the candidates of a choice to out, which is empty: all upstreams of a
-// small service, of a large one a few at random that may be used.
+// sampleCandidates appends the candidates of a choice to out, which must be empty: all
+// upstreams of a small service, or a few usable ones of a large service, drawn at random.
 //
-// The load pattern: many nodes, each with a few requests a second to a service of hundreds,
-// meet each upstream once in minutes. What they know of its load is old, so that they would
-// gather at the same ones, and looking at all takes longer than the rest of the way.
-func (r *Router) consider(out []Candidate, now time.Time, rnd *rand.Rand, req Request, members Members) []Candidate {
-	often := r.often(now, req.Service.Name)
-	if !r.cfg.ByExpectedTime || req.Pinned != "" || r.knowsMost(len(req.Service.Upstreams), often) {
+// In a large fleet each node sends a few requests a second to a service with hundreds of
+// upstreams, and so uses each upstream once in minutes. Its load reports are out of date,
+// so that nodes would concentrate on the same upstreams, and evaluating all of them takes
+// longer than the rest of the request handling.
+func (r *Router) sampleCandidates(out []Candidate, now time.Time, rnd *rand.Rand, req Request, members Members) []Candidate {
+	perSecond := r.countChoice(now, req.Service.Name)
+	if !r.cfg.ByExpectedTime || req.Pinned != "" || r.comparesAll(len(req.Service.Upstreams), perSecond) {
 		return r.appendCandidates(out, now, req, members)
 	}
-	out = r.drawCandidates(out, now, rnd, req, members, req.Service.In(r.self.DataCentre), compared*drawsEach)
-	if rnd.Float64() < favouriteShare {
-		out = r.addFavourites(out, now, req, members)
+	out = r.drawCandidates(out, now, rnd, req, members, req.Service.In(r.self.DataCentre), sampleSize*drawsPerSample)
+	if rnd.Float64() < fastUpstreamShare {
+		out = r.addFastest(out, now, req, members)
 	}
 	if !anyInTime(out) {
-		out = r.drawCandidates(out, now, rnd, req, members, req.Service.Upstreams, compared*drawsEach)
+		out = r.drawCandidates(out, now, rnd, req, members, req.Service.Upstreams, sampleSize*drawsPerSample)
 	}
 	if !anyUsable(out) {
 		out = r.appendCandidates(out[:0], now, req, members)
@@ -48,78 +52,79 @@
 	return out
 }
 
-// knowsMost reports whether all of so many upstreams are compared by a node that chooses
-// among them so often.
-func (r *Router) knowsMost(upstreams int, perSecond float64) bool {
+// comparesAll reports whether a node that makes perSecond choices among the given number
+// of upstreams compares all of them.
+func (r *Router) comparesAll(upstreams int, perSecond float64) bool {
 	switch {
-	case upstreams <= compared*drawsEach:
+	case upstreams <= sampleSize*drawsPerSample:
 		return true
-	case upstreams > compareAll:
+	case upstreams > maxCompareAll:
 		return false
 	}
-	return perSecond*r.cfg.LoadReportLifetime.Seconds() >= freshShare*float64(upstreams)
+	return perSecond*r.cfg.LoadReportLifetime.Seconds() >= minFreshShare*float64(upstreams)
 }
 
-// choices is how often a node chooses among the upstreams of a service.
-type choices struct {
-	perSecond float64 // smoothed
+// choiceCounter measures how often a node chooses among the upstreams of a service.
+type choiceCounter struct {
+	perSecond float64 // exponentially smoothed
 	at        time.Time
 }
 
-// choiceMemory is the time after which a choice counts for a third in their rate: some
+// choiceRateDecay is the time constant of the smoothed choice rate. It spans a few
 // requests of a node that sends one a second.
-const choiceMemory = 5 * time.Second
+const choiceRateDecay = 5 * time.Second
 
-// often counts a choice among the upstreams of a service, and returns how many a second
-// there are.
-func (r *Router) often(now time.Time, service string) float64 {
-	c, ok := r.choices[service]
+// countChoice counts a choice among the upstreams of a service and returns the choices
+// per second.
+func (r *Router) countChoice(now time.Time, service string) float64 {
+	c, ok := r.choiceCounters[service]
 	if !ok {
-		c = &choices{at: now}
-		r.choices[service] = c
+		c = &choiceCounter{at: now}
+		r.choiceCounters[service] = c
 	}
-	fade := math.Exp(-max(now.Sub(c.at).Seconds(), 0) / choiceMemory.Seconds())
-	c.perSecond, c.at = c.perSecond*fade+1/choiceMemory.Seconds(), now
+	fade := math.Exp(-max(now.Sub(c.at).Seconds(), 0) / choiceRateDecay.Seconds())
+	c.perSecond, c.at = c.perSecond*fade+1/choiceRateDecay.Seconds(), now
 	return c.perSecond
 }
 
-// drawCandidates appends upstreams drawn at random until enough of them may be used. Soft
-// exclusions are given up among those drawn.
+// drawCandidates draws upstreams from the list at random, at most draws times, and
+// appends them to out until sampleSize of them are usable. Soft exclusions of the drawn
+// candidates are subject to the panic threshold.
 func (r *Router) drawCandidates(out []Candidate, now time.Time, rnd *rand.Rand, req Request, members Members, from []*snapshot.Upstream, draws int) []Candidate {
 	usable := 0
 	for range min(draws, len(from)) {
 		u := from[rnd.IntN(len(from))]
-		if drawn(out, u) {
+		if alreadyDrawn(out, u) {
 			continue
 		}
 		out = append(out, Candidate{Upstream: u})
 		c := &out[len(out)-1]
-		r.judge(c, now, req, members)
+		r.evaluate(c, now, req, members)
 		if c.usable() {
 			usable++
 		}
-		if usable == compared {
+		if usable == sampleSize {
 			break
 		}
 	}
-	r.relent(out)
+	r.applyPanicThreshold(out)
 	return out
 }
 
-// addFavourites appends the quickest known upstreams that were not drawn.
-func (r *Router) addFavourites(out []Candidate, now time.Time, req Request, members Members) []Candidate {
-	for _, f := range r.quickest[req.Service.Name] {
+// addFastest appends the fastest known upstreams of the service that are not in out yet.
+func (r *Router) addFastest(out []Candidate, now time.Time, req Request, members Members) []Candidate {
+	for _, f := range r.fastest[req.Service.Name] {
 		u := req.Service.Upstream(f.name)
-		if u == nil || drawn(out, u) {
+		if u == nil || alreadyDrawn(out, u) {
 			continue
 		}
 		out = append(out, Candidate{Upstream: u})
-		r.judge(&out[len(out)-1], now, req, members)
+		r.evaluate(&out[len(out)-1], now, req, members)
 	}
 	return out
 }
 
-func drawn(cs []Candidate, u *snapshot.Upstream) bool {
+func alreadyDrawn(cs []Candidate, u *snapshot.Upstream) bool {
 	for i := range cs {
 		if cs[i].Upstream == u {
 			return true
@@ -140,8 +145,8 @@
 	return false
 }
 
-// anyInTime reports whether a request can be in time at one of the candidates, by what is
-// known.
+// anyInTime reports whether the request can probably meet its objective deadline at one
+// of the candidates.
 func anyInTime(cs []Candidate) bool {
 	for i := range cs {
 		c := &cs[i]
--- a/internal/routing/sample_test.go
+++ b/internal/routing/sample_test.go
@@ -14,27 +14,28 @@
 	"github.com/walldrift/walldrift/internal/table"
 )
 
-// crowd is a model of many nodes that send to one large service: few requests from each, to
-// upstreams that differ in speed by three, in time by news that each has of its own answers.
-type crowd struct {
-	rnd       *rand.Rand
-	routers   []*Router
-	service   *snapshot.Service
-	members   map[string]membership.Member
-	speeds    map[string]float64
-	busyUntil map[string][]time.Time // ends of what runs, by upstream
-	uneven    float64                // standard deviation of the logarithm of run times
-	told      map[string]float64     // service times, smoothed as upstreams' nodes do
+// fleetModel models many nodes that send to one large service. Each node sends few
+// requests and knows only the load reports of its own responses; the upstreams differ in
+// speed by a factor of three.
+type fleetModel struct {
+	rnd          *rand.Rand
+	routers      []*Router
+	service      *snapshot.Service
+	members      map[string]membership.Member
+	speeds       map[string]float64
+	busyUntil    map[string][]time.Time // end times of running requests, by upstream
+	runTimeSigma float64                // standard deviation of the logarithm of run times
+	serviceTimes map[string]float64     // smoothed service time by upstream, in seconds, as in its load reports
 }
 
-const crowdSlots = 11
+const modelSlots = 11
 
-func newCrowd(nodes, upstreams, centres int) *crowd {
-	c := &crowd{rnd: rand.New(rand.NewPCG(uint64(upstreams), 5)), members: make(map[string]membership.Member), speeds: make(map[string]float64), busyUntil: make(map[string][]time.Time), told: make(map[string]float64)}
+func newFleetModel(nodes, upstreams, centres int) *fleetModel {
+	c := &fleetModel{rnd: rand.New(rand.NewPCG(uint64(upstreams), 5)), members: make(map[string]membership.Member), speeds: make(map[string]float64), busyUntil: make(map[string][]time.Time), serviceTimes: make(map[string]float64)}
 	var all []*snapshot.Upstream
 	for i := range upstreams {
 		name, centre := fmt.Sprintf("u%d", i), fmt.Sprintf("dc%d", i%centres)
-		all = append(all, &snapshot.Upstream{Upstream: table.Upstream{Name: name, Service: "s", Weight: 1, Concurrency: crowdSlots}, DataCentre: centre})
+		all = append(all, &snapshot.Upstream{Upstream: table.Upstream{Name: name, Service: "s", Weight: 1, Concurrency: modelSlots}, DataCentre: centre})
 		c.members[name] = membership.Member{Instance: membership.Instance{Name: name, Service: "s", DataCentre: centre, Region: "r"}}
 		c.speeds[name] = math.Pow(3, c.rnd.Float64()-0.5)
 	}
@@ -47,14 +48,15 @@
 	return c
 }
 
-func (c *crowd) lookup(name string) (membership.Member, bool) {
+func (c *fleetModel) lookup(name string) (membership.Member, bool) {
 	m, ok := c.members[name]
 	return m, ok
 }
 
-// play sends requests at random nodes, each running 0.31 s at the usual speed, and returns
-// how many each upstream got and how many were late for an objective of a second.
-func (c *crowd) play(requests int, perSecond float64) (got map[string]int, late int) {
+// sendRequests sends requests from random nodes, each running 0.31 s at an upstream of normal
+// speed. It returns how many requests each upstream got and how many were late for an
+// objective of one second.
+func (c *fleetModel) sendRequests(requests int, perSecond float64) (got map[string]int, late int) {
 	got = make(map[string]int)
 	now := epoch
 	for range requests {
@@ -67,24 +69,24 @@
 		}
 		name := target.Upstream.Name
 		got[name]++
-		run := time.Duration(0.31 * math.Exp(c.uneven*c.rnd.NormFloat64()-c.uneven*c.uneven/2) / c.speeds[name] * float64(time.Second))
+		run := time.Duration(0.31 * math.Exp(c.runTimeSigma*c.rnd.NormFloat64()-c.runTimeSigma*c.runTimeSigma/2) / c.speeds[name] * float64(time.Second))
 		wait, inUse := c.start(name, now, run)
 		if wait+run > time.Second {
 			late++
 		}
 		r.Start(now, target.Instance)
-		if c.told[name] == 0 {
-			c.told[name] = run.Seconds()
+		if c.serviceTimes[name] == 0 {
+			c.serviceTimes[name] = run.Seconds()
 		}
-		c.told[name] += 0.1 * (run.Seconds() - c.told[name])
-		told := LoadReport{InUse: inUse, Slots: crowdSlots, Service: time.Duration(c.told[name] * float64(time.Second)), Wait: wait}
-		r.End(now, c.rnd, name, Outcome{Load: &told, Kind: "k", Latency: wait + run})
+		c.serviceTimes[name] += 0.1 * (run.Seconds() - c.serviceTimes[name])
+		report := LoadReport{InUse: inUse, Slots: modelSlots, Service: time.Duration(c.serviceTimes[name] * float64(time.Second)), Wait: wait}
+		r.End(now, c.rnd, name, Outcome{Load: &report, Kind: "k", Latency: wait + run})
 	}
 	return got, late
 }
 
-// start takes a slot of an upstream and returns the wait for it.
-func (c *crowd) start(name string, now time.Time, run time.Duration) (wait time.Duration, inUse int) {
+// start occupies a slot of an upstream and returns the wait for it and the slots in use.
+func (c *fleetModel) start(name string, now time.Time, run time.Duration) (wait time.Duration, inUse int) {
 	var running []time.Time
 	for _, end := range c.busyUntil[name] {
 		if end.After(now) {
@@ -92,78 +94,80 @@
 		}
 	}
 	from := now
-	if len(running) >= crowdSlots {
-		from = running[len(running)-crowdSlots]
+	if len(running) >= modelSlots {
+		from = running[len(running)-modelSlots]
 	}
 	c.busyUntil[name] = append(running, from.Add(run))
-	return from.Sub(now), min(len(running)+1, crowdSlots)
+	return from.Sub(now), min(len(running)+1, modelSlots)
 }
 
-// Each of a thousand nodes sends a request or two a second to a service of hundreds. What
-// they knew of the loads was old, and all chose the few that once were the quickest: the
-// busiest upstream had 35.7 times the mean on a quiet day, and 7% were late. Now no upstream
-// gets more than a few times its part.
-func TestManyNodesDoNotGatherAtAFewUpstreams(t *testing.T) {
+// About a thousand nodes each send one or two requests a second to a service of hundreds
+// of upstreams. If they compare all upstreams by outdated load reports, they choose the
+// few that once were the fastest: the busiest upstream then got 35.7 times the mean, and
+// 7% of the requests were late. No upstream may get more than a few times its share.
+func TestManyNodesDoNotConcentrateOnFewUpstreams(t *testing.T) {
 	for _, size := range []struct {
 		nodes, upstreams int
-		each             float64 // requests a second and upstream
+		each             float64 // requests per second and upstream
 	}{{985, 548, 2.4}, {2300, 1280, 2.4}, {985, 97, 4}, {195, 108, 2.4}} {
-		c := newCrowd(size.nodes, size.upstreams, 5)
+		c := newFleetModel(size.nodes, size.upstreams, 5)
 		perSecond := size.each * float64(size.upstreams)
-		got, late := c.play(30*size.upstreams, perSecond)
+		got, late := c.sendRequests(30*size.upstreams, perSecond)
 		most := 0.0
 		for name, n := range got {
 			most = max(most, float64(n)/c.speeds[name])
 		}
 		mean := 30.0
-		t.Logf("%d upstreams: the busiest, by speed, got %.0f for %.0f", size.upstreams, most, mean)
-		assert.Assert(t, most < 3*mean, "%d upstreams: the busiest, by speed, got %.0f for %.0f", size.upstreams, most, mean)
+		t.Logf("%d upstreams: the busiest, relative to its speed, got %.0f requests; mean %.0f", size.upstreams, most, mean)
+		assert.Assert(t, most < 3*mean, "%d upstreams: the busiest, relative to its speed, got %.0f requests; mean %.0f", size.upstreams, most, mean)
 		assert.Assert(t, late < 30*size.upstreams/100, "%d upstreams: %d late", size.upstreams, late)
 	}
 }
 
-// A choice among many looks at a few, whatever their number, and leaves no garbage.
-func TestChoiceAmongManyLooksAtAFew(t *testing.T) {
+// The number of upstreams evaluated for a choice is bounded, whatever the size of the
+// service.
+func TestPickEvaluatesABoundedSample(t *testing.T) {
 	for _, n := range []int{500, 2300, 4600} {
 		cfg := DefaultConfig()
 		cfg.ByExpectedTime = true
-		bed := newBedWith(cfg, n)
-		looked := 0
+		tb := newTestbedWith(cfg, n)
+		evaluated := 0
 		lookup := func(name string) (membership.Member, bool) {
-			looked++
-			return bed.lookup(name)
+			evaluated++
+			return tb.lookup(name)
 		}
-		req := Request{Service: bed.service, Kind: "k", ObjectiveDeadline: bed.now.Add(time.Second)}
+		req := Request{Service: tb.service, Kind: "k", ObjectiveDeadline: tb.now.Add(time.Second)}
 		for range 1000 {
-			_, ok := bed.router.Pick(bed.now, bed.rnd, req, lookup)
+			_, ok := tb.router.Pick(tb.now, tb.rnd, req, lookup)
 			assert.Assert(t, ok)
 		}
-		assert.Assert(t, looked <= 1000*compared*drawsEach, "%d looks at %d upstreams", looked, n)
+		assert.Assert(t, evaluated <= 1000*sampleSize*drawsPerSample, "%d evaluations of %d upstreams", evaluated, n)
 	}
 }
 
-// Where only one of many may be used, it is found.
-func TestTheOneUsableAmongManyIsFound(t *testing.T) {
+// If only one of many upstreams is usable, it is found.
+func TestSingleUsableUpstreamIsFound(t *testing.T) {
 	cfg := DefaultConfig()
 	cfg.ByExpectedTime = true
-	bed := newBedWith(cfg, 500)
+	tb := newTestbedWith(cfg, 500)
 	for i := range 500 {
 		if i != 77 {
-			bed.setStatus(fmt.Sprintf("u%d", i), membership.Leaving)
+			tb.setStatus(fmt.Sprintf("u%d", i), membership.Leaving)
 		}
 	}
 	for range 50 {
-		c, ok := bed.pick()
+		c, ok := tb.pick()
 		assert.Assert(t, ok)
 		assert.Equal(t, c.Upstream.Name, "u77")
 	}
-	_, ok := bed.pick("u77")
+	_, ok := tb.pick("u77")
 	assert.Assert(t, !ok)
 }
 
-// Upstreams of the own data centre are preferred as long as one of them can be in time.
+// Upstreams of the own data centre are preferred as long as one of them can respond in
+// time.
 func TestOwnDataCentreIsDrawnFirst(t *testing.T) {
-	c := newCrowd(1, 600, 3)
+	c := newFleetModel(1, 600, 3)
 	for range 200 {
 		target, ok := c.routers[0].Pick(epoch, c.rnd, Request{Service: c.service, Kind: "k", ObjectiveDeadline: epoch.Add(time.Second)}, c.lookup)
 		assert.Assert(t, ok)
@@ -171,26 +175,26 @@
 	}
 }
 
-// Run times of one kind differ much, so that a slow upstream has one in six late. A node
-// that sends a request a second draws a quick one by chance only: 5.7% were late, and 5.5% on
-// a quiet day of the fleet. It knows what it has met of their speeds, though not of their
-// loads: with the quickest it knows among those compared, under 4.5% are.
-func TestQuickUpstreamsThatWereMetAreChosenAgain(t *testing.T) {
-	c := newCrowd(985, 548, 5)
-	c.uneven = 0.8
+// With widely varying run times a slow upstream is late for one request in six, and a
+// node that sends a request a second draws a fast upstream only by chance: 5.7% of the
+// requests were late. Adding the fastest known upstreams to the sample must keep this
+// below 4.5%.
+func TestFastUpstreamsAreChosenAgain(t *testing.T) {
+	c := newFleetModel(985, 548, 5)
+	c.runTimeSigma = 0.8
 	for i := range 548 {
 		c.speeds[fmt.Sprintf("u%d", i)] = []float64{0.5, 1, 1, 1.5}[i%4]
 	}
 	const each = 60
-	_, late := c.play(each*548, 2.4*548)
+	_, late := c.sendRequests(each*548, 2.4*548)
 	assert.Assert(t, float64(late) < 0.045*each*548, "%d of %d late", late, each*548)
 }
 
-// The quickest known upstreams are kept, each with what it told last.
-func TestFavourites(t *testing.T) {
-	var f favourites
+// The fastest known upstreams are kept, sorted by their last reported service time.
+func TestFastUpstreams(t *testing.T) {
+	var f fastUpstreams
 	for i, ms := range []int{50, 30, 90, 70, 20, 60} {
-		f = f.note(fmt.Sprintf("u%d", i), time.Duration(ms)*time.Millisecond)
+		f = f.update(fmt.Sprintf("u%d", i), time.Duration(ms)*time.Millisecond)
 	}
 	names := func() (out []string) {
 		for _, one := range f {
@@ -199,8 +203,8 @@
 		return out
 	}
 	assert.DeepEqual(t, names(), []string{"u4", "u1", "u0", "u5"})
-	f = f.note("u4", 55*time.Millisecond)
+	f = f.update("u4", 55*time.Millisecond)
 	assert.DeepEqual(t, names(), []string{"u1", "u0", "u4", "u5"})
-	f = f.without("u0").note("u4", time.Second)
+	f = f.without("u0").update("u4", time.Second)
 	assert.DeepEqual(t, names(), []string{"u1", "u5", "u4"})
 }
