--- a/internal/admission/pace_test.go
+++ b/internal/admission/cold_rate_limit_test.go
@@ -9,21 +9,23 @@
 	"pgregory.net/rapid"
 )
 
-// most returns the starts in the window up to and with the last one.
-func most(starts []time.Time) int {
+// startsInWindow returns the number of starts within the window that ends with the last
+// one.
+func startsInWindow(starts []time.Time) int {
 	n := 0
 	for _, s := range starts {
-		if starts[len(starts)-1].Sub(s) < paceWindow {
+		if starts[len(starts)-1].Sub(s) < coldWindow {
 			n++
 		}
 	}
 	return n
 }
 
-// TestPaceAgainstOracle offers, ends and fills at random while the upstream turns cold
-// and warm. Oracle: the starts. While it is cold none is the one too many of any second,
-// and whatever waits is started as soon as slot and second allow.
-func TestPaceAgainstOracle(t *testing.T) {
+// TestColdRateLimitAgainstOracle offers, releases and fills at random while the upstream changes
+// between cold and warm. The oracle is the list of starts: while the upstream is cold no
+// start may exceed the rate in any window, and a waiting request is started as soon as a
+// slot is free and the rate allows it.
+func TestColdRateLimitAgainstOracle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rate := rapid.IntRange(1, 20).Draw(t, "rate")
 		slots := rapid.IntRange(1, 30).Draw(t, "slots")
@@ -36,7 +38,7 @@
 			for range n {
 				starts = append(starts, now)
 				if now.Before(until) {
-					assert.Assert(t, most(starts) <= rate, "%d starts in a second of a cold upstream", most(starts))
+					assert.Assert(t, startsInWindow(starts) <= rate, "%d starts in a second at a cold upstream", startsInWindow(starts))
 				}
 			}
 		}
@@ -61,7 +63,7 @@
 				fill()
 			},
 			"turns cold": func(t *rapid.T) {
-				// What had started before counts, though it may be too many already.
+				// Earlier starts count, though they may already exceed the rate.
 				until = now.Add(time.Duration(rapid.IntRange(1, 3000).Draw(t, "ms")) * time.Millisecond)
 				q.SetCold(until)
 			},
@@ -78,15 +80,15 @@
 				before := q.Load().Waiting
 				now = at
 				fill()
-				assert.Assert(t, q.Load().Waiting < before, "nothing is started when it may be")
+				assert.Assert(t, q.Load().Waiting < before, "no request is started when one may be")
 			},
 		})
 	})
 }
 
-// What waits for the pace of a cold upstream is started by the gate itself, at the
-// published rate and without a request that ends.
-func TestGateStartsWhatWaitsForThePace(t *testing.T) {
+// The gate itself must start requests that wait only for the rate limit of a cold
+// upstream, at the set rate and without another request ending.
+func TestGateStartsRequestsWhenColdLimitAllows(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewGate(Config{Slots: 100, QueueLimit: 100})
 		g.SetColdRate(10)
@@ -107,12 +109,12 @@
 		for range cap(starts) {
 			in[<-starts]++
 		}
-		assert.DeepEqual(t, in, map[time.Duration]int{0: 10, paceWindow: 10, 2 * paceWindow: 10, 2500 * time.Millisecond: 10})
+		assert.DeepEqual(t, in, map[time.Duration]int{0: 10, coldWindow: 10, 2 * coldWindow: 10, 2500 * time.Millisecond: 10})
 	})
 }
 
-// A request that cannot start in time is refused at once, with the time at which it
-// might.
+// A request that can't start in time is refused at once, with the time at which it might
+// start.
 func TestColdUpstreamRefusesAtOnce(t *testing.T) {
 	now := time.Unix(1000, 0)
 	q := NewQueue(Config{Slots: 100, QueueLimit: 100})
@@ -123,5 +125,5 @@
 		assert.Assert(t, v.Started)
 	}
 	v, _ := q.Offer(now, &Ticket{Kind: "k", Weight: 1, Latest: now.Add(300 * time.Millisecond)})
-	assert.DeepEqual(t, v, Verdict{Reason: ReasonCold, RetryAfter: paceWindow})
+	assert.DeepEqual(t, v, Verdict{Reason: ReasonCold, RetryAfter: coldWindow})
 }
--- a/internal/admission/fair.go
+++ b/internal/admission/fair.go
@@ -2,20 +2,20 @@
 
 import "slices"
 
-// minWeight replaces a weight of zero, so that such a kind is served last but
-// is not starved for ever.
+// minWeight replaces a weight of zero, so that such a kind is served last but doesn't
+// starve.
 const minWeight = 1e-3
 
-// maxIdleKinds bounds the kinds remembered without waiting requests.
+// maxIdleKinds bounds the kinds that are kept without waiting requests.
 const maxIdleKinds = 64
 
 // kindQueue holds the waiting requests of one kind, by tenant.
 type kindQueue struct {
 	name    string
 	weight  float64
-	pass    float64 // place in the fair order
+	pass    float64 // position of the kind in stride scheduling
 	waiting int
-	tenants []*tenantQueue // served in turn
+	tenants []*tenantQueue // served round-robin
 }
 
 type tenantQueue struct {
@@ -23,7 +23,7 @@
 	tickets []*Ticket
 }
 
-func (q *Queue) kind(t *Ticket) *kindQueue {
+func (q *Queue) kindFor(t *Ticket) *kindQueue {
 	weight := max(t.Weight, minWeight)
 	for _, k := range q.kinds {
 		if k.name == t.Kind {
@@ -42,10 +42,10 @@
 	return k
 }
 
-// finish is the place in the fair order at which the next request of the kind is
-// done. Serving the least of these, in place of the least pass, puts a heavy kind
-// that begins to wait before the light ones that wait already.
-func (k *kindQueue) finish() float64 { return k.pass + 1/k.weight }
+// nextPass returns the pass after the next request of the kind. Kinds are served by the
+// smallest nextPass rather than by the smallest pass, so that a heavy kind that starts to
+// wait is served before light ones that were waiting already.
+func (k *kindQueue) nextPass() float64 { return k.pass + 1/k.weight }
 
 func (k *kindQueue) push(t *Ticket) {
 	k.waiting++
@@ -58,7 +58,7 @@
 	k.tenants = append(k.tenants, &tenantQueue{name: t.Tenant, tickets: []*Ticket{t}})
 }
 
-// pop takes the oldest request of the tenant whose turn it is.
+// pop removes and returns the oldest request of the tenant whose turn it is.
 func (k *kindQueue) pop() *Ticket {
 	tn := k.tenants[0]
 	t := tn.tickets[0]
@@ -71,7 +71,8 @@
 	return t
 }
 
-// dropNewest takes the newest request of the tenant that has the most waiting.
+// dropNewest removes and returns the newest request of the tenant with the most waiting
+// requests.
 func (k *kindQueue) dropNewest() *Ticket {
 	most := slices.MaxFunc(k.tenants, func(a, b *tenantQueue) int { return len(a.tickets) - len(b.tickets) })
 	t := most.tickets[len(most.tickets)-1]
@@ -95,22 +96,23 @@
 	return false
 }
 
-// take returns the next request in the fair order. The queue is not empty.
-func (q *Queue) take() *Ticket {
+// popNext removes and returns the next request to be served. The queue must not be empty.
+func (q *Queue) popNext() *Ticket {
 	var next *kindQueue
 	for _, k := range q.kinds {
-		if k.waiting > 0 && (next == nil || k.finish() < next.finish()) {
+		if k.waiting > 0 && (next == nil || k.nextPass() < next.nextPass()) {
 			next = k
 		}
 	}
 	q.pass = next.pass
-	next.pass = next.finish()
+	next.pass = next.nextPass()
 	q.waiting--
 	return next.pop()
 }
 
-// ahead estimates how many waiting requests are started before t would be.
-func (q *Queue) ahead(t *Ticket) int {
+// countAhead estimates how many waiting requests would be started before t, including t
+// itself.
+func (q *Queue) countAhead(t *Ticket) int {
 	own := 1
 	for _, k := range q.kinds {
 		if k.name == t.Kind {
@@ -127,10 +129,11 @@
 	return n
 }
 
-// displace makes room for t by dropping a request of the kind that has the
-// most waiting for its weight. It returns nil if t's own kind is that one.
+// displace makes room for t by dropping a request of the kind with the most waiting
+// requests relative to its weight. If that is t's own kind, a request of another tenant
+// of the kind is dropped, or nil is returned if none may be.
 func (q *Queue) displace(t *Ticket) *Ticket {
-	own := q.kind(t)
+	own := q.kindFor(t)
 	worst, excess := own, float64(own.waiting+1)/own.weight
 	for _, k := range q.kinds {
 		if over := float64(k.waiting) / k.weight; k != own && over > excess {
@@ -144,8 +147,9 @@
 	return worst.dropNewest()
 }
 
-// displaceTenant makes room inside a kind: a tenant with at least two more
-// requests waiting than t's gives up its newest.
+// displaceTenant makes room within a kind: it drops the newest request of the tenant with
+// the most waiting requests, if that has at least two more waiting than t's tenant.
+// Otherwise it returns nil.
 func (q *Queue) displaceTenant(k *kindQueue, t *Ticket) *Ticket {
 	own, most := 0, 0
 	for _, tn := range k.tenants {
--- a/internal/admission/gate.go
+++ b/internal/admission/gate.go
@@ -8,14 +8,16 @@
 	"github.com/walldrift/walldrift/internal/clock"
 )
 
-// Gate is a Queue for use from many goroutines.
+// Gate is a Queue that is safe for concurrent use and lets callers block until they get a
+// slot.
 type Gate struct {
 	mu      sync.Mutex
 	queue   *Queue
 	waiters map[*Ticket]chan Verdict
-	closed  Reason // why all is refused; ReasonNone if the gate is open
-	// reopening starts what waits for the pace of a cold upstream; nil if nothing does.
-	reopening *time.Timer
+	closed  Reason // why all requests are refused; ReasonNone while the gate is open
+	// coldTimer starts the requests that wait only for the rate limit of a cold upstream;
+	// nil if none do.
+	coldTimer *time.Timer
 }
 
 // NewGate returns a gate with an empty queue.
@@ -23,9 +25,9 @@
 	return &Gate{queue: NewQueue(cfg), waiters: make(map[*Ticket]chan Verdict)}
 }
 
-// Acquire waits for a slot. If the verdict is Started, the caller must call
-// Leave once. It returns at once when the request is refused, displaced, can
-// no longer finish in time, or ctx ends.
+// Acquire waits for a slot. If the verdict is Started, the caller must call Release once.
+// Acquire returns without a slot as soon as the request is refused or displaced, can no
+// longer finish before its deadline, or ctx ends.
 func (g *Gate) Acquire(ctx context.Context, t *Ticket) Verdict {
 	g.mu.Lock()
 	if g.closed != ReasonNone {
@@ -34,7 +36,7 @@
 	}
 	v, displaced := g.queue.Offer(clock.Now(), t)
 	if displaced != nil {
-		g.settle(displaced, g.queue.Refusal(clock.Now(), ReasonOutweighed))
+		g.resolve(displaced, g.queue.Refusal(clock.Now(), ReasonOutweighed))
 	}
 	if !v.Waiting {
 		g.mu.Unlock()
@@ -43,7 +45,7 @@
 	ch := make(chan Verdict, 1)
 	g.waiters[t] = ch
 	latest := g.queue.LatestStart(t)
-	g.arm()
+	g.armColdTimer()
 	g.mu.Unlock()
 	return g.wait(ctx, t, ch, latest)
 }
@@ -59,25 +61,26 @@
 	case v := <-ch:
 		return v
 	case <-late:
-		return g.giveUp(t, ch, ReasonTooLate)
+		return g.stopWaiting(t, ch, ReasonTooLate)
 	case <-ctx.Done():
-		return g.giveUp(t, ch, ReasonCancelled)
+		return g.stopWaiting(t, ch, ReasonCancelled)
 	}
 }
 
-// giveUp takes a waiting request out; if it was settled meanwhile, that stands.
-func (g *Gate) giveUp(t *Ticket, ch chan Verdict, r Reason) Verdict {
+// stopWaiting removes a waiting request from the queue and refuses it. If it has received
+// a verdict in the meantime, that verdict is returned instead.
+func (g *Gate) stopWaiting(t *Ticket, ch chan Verdict, r Reason) Verdict {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if !g.queue.Remove(t) {
-		return <-ch // buffered: settled before the lock was taken
+		return <-ch // buffered: the verdict was sent before the lock was taken
 	}
 	delete(g.waiters, t)
 	return g.queue.Refusal(clock.Now(), r)
 }
 
-// settle tells a waiting request its verdict. The lock is held.
-func (g *Gate) settle(t *Ticket, v Verdict) {
+// resolve sends a waiting request its verdict. The lock must be held.
+func (g *Gate) resolve(t *Ticket, v Verdict) {
 	ch, ok := g.waiters[t]
 	if !ok {
 		return
@@ -90,54 +93,55 @@
 func (g *Gate) Release(held time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.settleAll(g.queue.Release(clock.Now(), held))
+	g.resolveAll(g.queue.Release(clock.Now(), held))
 }
 
-func (g *Gate) settleAll(start, late []*Ticket) {
+func (g *Gate) resolveAll(start, late []*Ticket) {
 	for _, t := range start {
-		g.settle(t, Verdict{Started: true})
+		g.resolve(t, Verdict{Started: true})
 	}
 	for _, t := range late {
-		g.settle(t, g.queue.Refusal(clock.Now(), ReasonTooLate))
+		g.resolve(t, g.queue.Refusal(clock.Now(), ReasonTooLate))
 	}
-	g.arm()
+	g.armColdTimer()
 }
 
-// arm starts what waits for the pace of a cold upstream when that allows it. The lock
-// is held.
-func (g *Gate) arm() {
+// armColdTimer schedules the start of requests that wait only for the rate limit of a
+// cold upstream. The lock must be held.
+func (g *Gate) armColdTimer() {
 	now := clock.Now()
 	at, waits := g.queue.Reopens(now)
-	if !waits || g.reopening != nil {
+	if !waits || g.coldTimer != nil {
 		return
 	}
-	g.reopening = time.AfterFunc(max(at.Sub(now), 0), func() {
-		g.change(func(*Queue) { g.reopening = nil })
+	g.coldTimer = time.AfterFunc(max(at.Sub(now), 0), func() {
+		g.update(func(*Queue) { g.coldTimer = nil })
 	})
 }
 
-// change changes what the queue may start, and starts what waited for that.
-func (g *Gate) change(apply func(*Queue)) {
+// update changes the queue's limits and starts the waiting requests that the change
+// admits.
+func (g *Gate) update(apply func(*Queue)) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	apply(g.queue)
-	g.settleAll(g.queue.Fill(clock.Now()))
+	g.resolveAll(g.queue.Fill(clock.Now()))
 }
 
-// SetColdRate bounds the requests that the upstream gets in any second while it is
-// cold; 0 sets no bound.
+// SetColdRate limits the requests started in any second while the upstream is cold; 0
+// means no limit.
 func (g *Gate) SetColdRate(perSecond float64) {
-	g.change(func(q *Queue) { q.SetColdRate(perSecond) })
+	g.update(func(q *Queue) { q.SetColdRate(perSecond) })
 }
 
-// SetCold says until when the upstream is cold.
-func (g *Gate) SetCold(until time.Time) { g.change(func(q *Queue) { q.SetCold(until) }) }
+// SetCold sets the time until which the upstream is cold.
+func (g *Gate) SetCold(until time.Time) { g.update(func(q *Queue) { q.SetCold(until) }) }
 
 // SetSlots changes the number of slots.
-func (g *Gate) SetSlots(n int) { g.change(func(q *Queue) { q.SetSlots(n) }) }
+func (g *Gate) SetSlots(n int) { g.update(func(q *Queue) { q.SetSlots(n) }) }
 
-// SetDraining refuses further requests, or takes them again; those that wait
-// or run go on.
+// SetDraining refuses all further requests, or with false opens the gate again. Waiting
+// and running requests continue.
 func (g *Gate) SetDraining(on bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -147,15 +151,15 @@
 	}
 }
 
-// RefuseAll refuses further requests and those that wait, for a reason; those that run
-// go on. SetDraining takes requests again.
+// RefuseAll refuses all further requests and those that wait, with the given reason.
+// Running requests continue. SetDraining(false) opens the gate again.
 func (g *Gate) RefuseAll(why Reason) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.closed = why
 	for t := range g.waiters {
 		g.queue.Remove(t)
-		g.settle(t, g.queue.Refusal(clock.Now(), why))
+		g.resolve(t, g.queue.Refusal(clock.Now(), why))
 	}
 }
 
@@ -166,15 +170,15 @@
 	return g.closed
 }
 
-// Forecast is what a gate expects of the next request of a kind.
+// Forecast is the state of a gate and what the next request of a kind can expect.
 type Forecast struct {
 	Load
 	Service time.Duration // smoothed time that a request holds a slot
-	Wait    time.Duration // until it gets a slot
-	Cold    time.Duration // the upstream stays cold; 0 if it is warm or bears any rate
+	Wait    time.Duration // expected time until the request gets a slot
+	Cold    time.Duration // remaining time that the upstream is cold; 0 if it is warm or has no cold rate
 }
 
-// Forecast returns the present state, as the next request of a kind meets it.
+// Forecast returns the present state and the expected wait of the next request of a kind.
 func (g *Gate) Forecast(kind string, weight float64) Forecast {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -187,22 +191,22 @@
 	}
 }
 
-// SlotInterval is the time between two slots that come free while all are in use;
-// 0 if that is not known.
+// SlotInterval returns the mean time between two slots that become free while all are in
+// use; 0 if unknown.
 func (g *Gate) SlotInterval() time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.queue.waitBehind(clock.Now(), 1)
 }
 
-// Refusal returns the verdict for a reason, with the advice when to come back.
+// Refusal returns the verdict for a reason, with the time after which to retry.
 func (g *Gate) Refusal(r Reason) Verdict {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.queue.Refusal(clock.Now(), r)
 }
 
-// Load returns the present state.
+// Load returns the present state of the queue.
 func (g *Gate) Load() Load {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/admission/limits.go
+++ b/internal/admission/limits.go
@@ -8,13 +8,12 @@
 	"golang.org/x/time/rate"
 )
 
-// Limits enforces the share of a row's limits that falls to one upstream. It
-// is pure but for its own state: time is passed in. Not safe for concurrent
-// use.
+// Limits enforces one upstream's share of the rate and concurrency limits of a table row.
+// It has no clock: time is passed in. It is not safe for concurrent use.
 //
-// The shares are computed from the table alone, so nodes that hold the same
-// version agree on them, and their sum is the row's limit exactly. While two
-// versions are in force, the sum is at most that of the larger limit.
+// The shares are computed from the table alone, so that nodes with the same table version
+// agree on them and their sum is exactly the limit of the row. While two versions are in
+// force, the sum is at most the larger of the two limits.
 type Limits struct {
 	service  *rate.Limiter // nil means no limit
 	upstream *rate.Limiter
@@ -22,34 +21,34 @@
 	running  int
 }
 
-// NewLimits returns limits that let every call start.
+// NewLimits returns limits that admit every call.
 func NewLimits() *Limits { return &Limits{max: -1} }
 
-// RowLimits is what the table says about one upstream and its service.
+// RowLimits holds the limits that the table sets for one upstream and its service.
 type RowLimits struct {
-	ServiceRate        float64 // calls a second over the fleet; 0 means no limit
+	ServiceRate        float64 // calls per second over the fleet; 0 means no limit
 	UpstreamRate       float64
 	ServiceConcurrency int // calls in progress over the fleet; 0 means no limit
-	// Shares holds the weight share of each upstream of the service, in the
-	// order of their names; Self is the index of this one.
+	// Shares holds the share of the service's weight of each upstream, ordered by
+	// upstream name; Self is the index of this upstream.
 	Shares []float64
 	Self   int
 }
 
-// Set takes over a new version of the row. Calls in progress stay counted.
+// Set applies the limits of a new table version. Calls in progress remain counted.
 func (l *Limits) Set(now time.Time, r RowLimits) {
-	l.service = adjust(l.service, now, r.ServiceRate*r.Shares[r.Self])
-	l.upstream = adjust(l.upstream, now, r.UpstreamRate)
+	l.service = updateLimiter(l.service, now, r.ServiceRate*r.Shares[r.Self])
+	l.upstream = updateLimiter(l.upstream, now, r.UpstreamRate)
 	l.max = -1
 	if r.ServiceConcurrency > 0 {
 		l.max = Apportion(r.ServiceConcurrency, r.Shares)[r.Self]
 	}
 }
 
-// burstTime is the time's worth of calls that may come at once.
+// burstTime is the size of a rate limiter's burst, as seconds of its rate.
 const burstTime = 0.1
 
-func adjust(l *rate.Limiter, now time.Time, perSecond float64) *rate.Limiter {
+func updateLimiter(l *rate.Limiter, now time.Time, perSecond float64) *rate.Limiter {
 	if perSecond <= 0 {
 		return nil
 	}
@@ -62,8 +61,9 @@
 	return l
 }
 
-// Start asks for leave to start one call. A refusal says why and when the next
-// call may come; a granted call must be ended with Done.
+// Start tries to start one call. If it returns ReasonNone, the caller must call Done when
+// the call ends. Otherwise it returns the reason and the time until a call may be
+// admitted, 0 if unknown.
 func (l *Limits) Start(now time.Time) (Reason, time.Duration) {
 	if l.max >= 0 && l.running >= l.max {
 		return ReasonConcurrency, 0
@@ -71,15 +71,15 @@
 	if wait := l.nextToken(now); wait > 0 {
 		return ReasonRate, wait
 	}
-	l.spend(now)
+	l.takeTokens(now)
 	l.running++
 	return ReasonNone, 0
 }
 
-// Done ends a call.
+// Done ends a call that Start admitted.
 func (l *Limits) Done() { l.running-- }
 
-// nextToken returns the time until both buckets hold a token.
+// nextToken returns the time until both rate limiters have a token.
 func (l *Limits) nextToken(now time.Time) time.Duration {
 	wait := 0.0
 	for _, b := range []*rate.Limiter{l.service, l.upstream} {
@@ -93,7 +93,7 @@
 	return time.Duration(wait * float64(time.Second))
 }
 
-func (l *Limits) spend(now time.Time) {
+func (l *Limits) takeTokens(now time.Time) {
 	for _, b := range []*rate.Limiter{l.service, l.upstream} {
 		if b != nil {
 			b.AllowN(now, 1)
@@ -101,8 +101,8 @@
 	}
 }
 
-// Apportion splits total into whole parts in proportion to shares, by largest
-// remainder, ties going to the first. The parts sum to total.
+// Apportion splits total into integers in proportion to shares, by the largest remainder
+// method; ties go to the first. The parts sum to total.
 func Apportion(total int, shares []float64) []int {
 	parts := make([]int, len(shares))
 	order := make([]int, len(shares))
--- a/internal/admission/queue_test.go
+++ b/internal/admission/queue_test.go
@@ -10,54 +10,54 @@
 	"pgregory.net/rapid"
 )
 
-// fate is what the oracle knows of a ticket.
-type fate int
+// ticketState is the oracle's record of a ticket.
+type ticketState int
 
 const (
-	waiting fate = iota
+	waiting ticketState = iota
 	started
 	ended
 	refused
 )
 
-// TestQueueAgainstOracle drives a queue at random. Oracle: a plain map of what
-// became of each ticket. Never more than Slots run; a ticket is started or
-// refused exactly once; a refused one never starts; nothing waits while a slot
-// is free; none starts that could not end before its deadline.
+// TestQueueAgainstOracle drives a queue with random operations. The oracle is a map of
+// the state of each ticket. It checks that never more than Slots tickets run, a ticket is
+// started or refused exactly once, a refused ticket is never started, none waits while a
+// slot is free, and none is started after its deadline.
 func TestQueueAgainstOracle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := Config{Slots: rapid.IntRange(1, 4).Draw(t, "slots"), QueueLimit: rapid.IntRange(0, 6).Draw(t, "limit")}
 		q := NewQueue(cfg)
 		now := time.Unix(1000, 0)
-		fates := make(map[*Ticket]fate)
+		states := make(map[*Ticket]ticketState)
 		var order []*Ticket
-		settle := func(tk *Ticket, to fate) {
-			assert.Equal(t, fates[tk], waiting, "settled twice")
-			fates[tk] = to
+		record := func(tk *Ticket, to ticketState) {
+			assert.Equal(t, states[tk], waiting, "started or refused twice")
+			states[tk] = to
 		}
-		settleAll := func(start, late []*Ticket) {
+		recordAll := func(start, late []*Ticket) {
 			assert.Assert(t, len(start) == 0 || q.Load().InUse <= cfg.Slots, "started more than there are slots")
 			for _, tk := range start {
 				assert.Assert(t, tk.Deadline.IsZero() || !now.After(tk.Deadline), "started past its deadline")
-				settle(tk, started)
+				record(tk, started)
 			}
 			for _, tk := range late {
-				settle(tk, refused)
+				record(tk, refused)
 			}
 		}
-		count := func(want fate) int {
+		count := func(want ticketState) int {
 			n := 0
-			for _, f := range fates {
-				if f == want {
+			for _, s := range states {
+				if s == want {
 					n++
 				}
 			}
 			return n
 		}
-		pick := func(t *rapid.T, want fate) *Ticket {
+		pick := func(t *rapid.T, want ticketState) *Ticket {
 			var some []*Ticket
 			for _, tk := range order {
-				if fates[tk] == want {
+				if states[tk] == want {
 					some = append(some, tk)
 				}
 			}
@@ -76,31 +76,31 @@
 				if rapid.Bool().Draw(t, "has deadline") {
 					tk.Deadline = now.Add(time.Duration(rapid.IntRange(1, 500).Draw(t, "ms")) * time.Millisecond)
 				}
-				fates[tk] = waiting
+				states[tk] = waiting
 				order = append(order, tk)
 				v, displaced := q.Offer(now, tk)
 				if displaced != nil {
-					settle(displaced, refused)
+					record(displaced, refused)
 				}
 				switch {
 				case v.Started:
-					settle(tk, started)
+					record(tk, started)
 					assert.Assert(t, q.Load().InUse <= cfg.Slots, "started more than there are slots")
 				case !v.Waiting:
-					settle(tk, refused)
+					record(tk, refused)
 					assert.Assert(t, v.RetryAfter >= minRetryAfter && v.RetryAfter <= maxRetryAfter)
 					assert.Assert(t, v.Reason != ReasonNone)
 				}
 			},
 			"end": func(t *rapid.T) {
 				tk := pick(t, started)
-				fates[tk] = ended
-				settleAll(q.Release(now, time.Duration(rapid.IntRange(1, 100).Draw(t, "held"))*time.Millisecond))
+				states[tk] = ended
+				recordAll(q.Release(now, time.Duration(rapid.IntRange(1, 100).Draw(t, "held"))*time.Millisecond))
 			},
 			"cancel": func(t *rapid.T) {
 				tk := pick(t, waiting)
 				assert.Assert(t, q.Remove(tk))
-				settle(tk, refused)
+				record(tk, refused)
 			},
 			"time": func(t *rapid.T) {
 				now = now.Add(time.Duration(rapid.IntRange(1, 300).Draw(t, "ms")) * time.Millisecond)
@@ -108,14 +108,14 @@
 			"slots": func(t *rapid.T) {
 				cfg.Slots = rapid.IntRange(1, 4).Draw(t, "n")
 				q.SetSlots(cfg.Slots)
-				settleAll(q.Fill(now))
+				recordAll(q.Fill(now))
 			},
 			"": func(t *rapid.T) {
 				load := q.Load()
 				assert.Equal(t, load.InUse, count(started))
 				assert.Equal(t, load.Waiting, count(waiting))
 				assert.Assert(t, load.Waiting <= cfg.QueueLimit)
-				assert.Assert(t, load.Waiting == 0 || load.InUse >= cfg.Slots, "waits while a slot is free")
+				assert.Assert(t, load.Waiting == 0 || load.InUse >= cfg.Slots, "request waits while a slot is free")
 			},
 		})
 	})
@@ -139,7 +139,7 @@
 	assert.Equal(t, got["paper"], 20)
 }
 
-// A tenant that floods does not keep another of the same kind waiting.
+// A tenant that floods the queue doesn't delay another tenant of the same kind.
 func TestQueueIsFairAmongTenants(t *testing.T) {
 	q := NewQueue(Config{Slots: 1, QueueLimit: 10})
 	now := time.Unix(0, 0)
@@ -155,13 +155,13 @@
 	assert.Equal(t, start[0].Tenant, "quiet")
 }
 
-// What cannot end in time is refused at once, with the time in which the
-// queue drains.
+// A request that can't finish before its deadline is refused at once, with the time in
+// which the queue drains.
 func TestQueueRefusesWhatIsTooLate(t *testing.T) {
 	q := NewQueue(Config{Slots: 1, QueueLimit: 100})
 	now := time.Unix(0, 0)
 	q.Offer(now, &Ticket{Kind: "k"})
-	q.Release(now, 100*time.Millisecond) // one served: 100 ms each
+	q.Release(now, 100*time.Millisecond) // one sample: 100 ms of service time
 	q.Offer(now, &Ticket{Kind: "k"})
 	for range 5 {
 		q.Offer(now, &Ticket{Kind: "k"})
@@ -226,8 +226,7 @@
 	})
 }
 
-// The limits of all upstreams of a service together let through no more than
-// the row says.
+// The limits of all upstreams of a service together admit no more than the row allows.
 func TestLimitsHoldOverTheFleet(t *testing.T) {
 	shares := []float64{0.5, 0.25, 0.25}
 	now := time.Unix(1000, 0)
@@ -247,7 +246,7 @@
 			}
 		}
 	}
-	assert.Assert(t, rate <= 1000+10, "%d in 10 s", rate) // and the bursts
+	assert.Assert(t, rate <= 1000+10, "%d in 10 s", rate) // plus the bursts
 	assert.Assert(t, rate >= 990)
 	later := now.Add(time.Hour)
 	for range 20 {
@@ -261,9 +260,9 @@
 	assert.Equal(t, concurrent, 7)
 }
 
-// Dismissed, a gate refuses what waits and what comes, ends nothing that runs, and
-// takes requests again later.
-func TestDismissedGate(t *testing.T) {
+// RefuseAll refuses waiting and new requests but doesn't affect running ones, and the
+// gate can be opened again later.
+func TestRefuseAll(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewGate(Config{Slots: 1, QueueLimit: 10})
 		assert.Assert(t, g.Acquire(t.Context(), &Ticket{Kind: "k"}).Started)
