--- a/internal/overload/doc.go
+++ b/internal/overload/doc.go
@@ -1,13 +1,11 @@
-// Package overload decides who is served when there is more work than slots:
-// how old a request is, whether it can still be answered in time, how long it
-// may wait for a slot, who goes first, and when a refused one should come back.
+// Package overload decides which requests are served when there are more than the slots
+// can handle: when a request was first attempted, whether it can still meet its objective
+// deadline, how long it may wait for a slot, and which requests take priority.
 //
-// A request is worth most to its caller when it is answered within its
-// objective, counted from the caller's first attempt. Beyond capacity somebody
-// is refused whatever is done; what can be chosen is that each slot goes to a
-// request that can still be in time, and that the others learn of their refusal
-// at once.
+// A response is worth most to the caller if it arrives within the objective, counted from
+// the caller's first attempt. Beyond capacity some requests must be refused. The aim is
+// to give each slot to a request that can still be in time, and to refuse the others at
+// once.
 //
-// The package is pure: times are passed in, and it has no goroutines. It sees
-// no network and no clock.
+// The package is pure: times are passed in, and it starts no goroutines and does no I/O.
 package overload
--- a/internal/overload/overload_test.go
+++ b/internal/overload/overload_test.go
@@ -10,10 +10,10 @@
 	"pgregory.net/rapid"
 )
 
-// Oracle: a plain list of all refused requests, several of the same identity among
-// them. What is known of a return is its first attempt; what expires at another
-// time is new.
-func TestReturnsAgainstOracle(t *testing.T) {
+// The oracle is a list of all refused requests, several of which may have the same
+// identity. A retry must be recognised with the time of its first attempt; a request with
+// another expiry is new.
+func TestRefusedRequestsAgainstOracle(t *testing.T) {
 	type known struct {
 		id            Identity
 		first, expiry time.Time
@@ -43,20 +43,20 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"refuse": func(t *rapid.T) {
 				k := known{id: id(t), first: at.Add(-ms(t, 500)), expiry: at.Add(ms(t, 1500))}
-				if near(k.id, k.expiry, 4*expirySlack) {
-					t.Skip("not told from another one")
+				if near(k.id, k.expiry, 4*expiryTolerance) {
+					t.Skip("not distinguishable from another one")
 				}
 				r.Add(at, "r", k.id, k.first, k.expiry)
 				refused = append(refused, k)
 			},
 			"new": func(t *rapid.T) {
 				i, expiry := id(t), at.Add(ms(t, 1500))
-				if near(i, expiry, expirySlack) {
-					t.Skip("a return")
+				if near(i, expiry, expiryTolerance) {
+					t.Skip("a retry")
 				}
 				assert.Equal(t, r.FirstAttempt(at, i, expiry), at)
 			},
-			"return": func(t *rapid.T) {
+			"retry": func(t *rapid.T) {
 				if len(refused) == 0 {
 					t.Skip("nothing refused")
 				}
@@ -64,14 +64,14 @@
 				if at.After(k.expiry) {
 					t.Skip("expired")
 				}
-				assert.Equal(t, r.FirstAttempt(at, k.id, k.expiry.Add(ms(t, 20)-expirySlack)), k.first)
+				assert.Equal(t, r.FirstAttempt(at, k.id, k.expiry.Add(ms(t, 20)-expiryTolerance)), k.first)
 			},
 			"time": func(t *rapid.T) { at = at.Add(ms(t, 300)) },
 		})
 	})
 }
 
-// A caller with a short deadline is not taken for one that comes late.
+// A request with a much earlier deadline is another caller's request and not a retry.
 func TestShortDeadlineIsNew(t *testing.T) {
 	r := NewRefusedRequests()
 	at := time.Unix(1000, 0)
@@ -80,20 +80,20 @@
 	assert.Equal(t, r.FirstAttempt(at, id, at.Add(200*time.Millisecond)), at)
 }
 
-// However many are refused, the memory is bounded, and expired ones make room.
-func TestReturnsAreBounded(t *testing.T) {
+// The memory is bounded however many requests are refused, and expired ones make room.
+func TestRefusedRequestsAreBounded(t *testing.T) {
 	r := NewRefusedRequests()
 	at := time.Unix(1000, 0)
-	for i := range 2 * maxReturns {
+	for i := range 2 * maxRefused {
 		r.Add(at, "r", Identity{Target: string(rune(i))}, at, at.Add(time.Second))
 	}
-	assert.Equal(t, len(r.refused), maxReturns)
+	assert.Equal(t, len(r.refused), maxRefused)
 	later := at.Add(2 * time.Second)
 	r.Add(later, "r", Identity{Target: "later"}, later, later.Add(time.Second))
 	assert.Equal(t, len(r.refused), 1)
 }
 
-// Quantiles are those of the last requests, to the width of a bucket.
+// Quantiles are those of recent requests, to within the width of a bucket.
 func TestRunTimesQuantile(t *testing.T) {
 	r := NewRunTimes()
 	rnd := rand.New(rand.NewPCG(1, 2))
@@ -111,62 +111,62 @@
 	assert.Equal(t, r.Quantile("other", SafeRunQuantile), time.Duration(0))
 }
 
-// A quantile rests on no more requests than are remembered.
+// The number of samples is limited by the decay of older requests.
 func TestRunTimesSamples(t *testing.T) {
 	r := NewRunTimes()
 	assert.Equal(t, r.Samples("k"), 0.0)
 	r.Observe("k", time.Second)
 	assert.Assert(t, r.Samples("k") > 0.9 && r.Samples("k") <= 1)
-	for range 10000 { // past a rescaling
+	for range 10000 { // past a rescale
 		r.Observe("k", time.Second)
 	}
-	assert.Assert(t, r.Samples("k") > 0.9*runMemory && r.Samples("k") <= runMemory+1)
+	assert.Assert(t, r.Samples("k") > 0.9*runTimesDecay && r.Samples("k") <= runTimesDecay+1)
 }
 
-// A change is noticed within about as many requests as are remembered.
+// A change of run times shows after about runTimesDecay requests.
 func TestRunTimesForget(t *testing.T) {
 	r := NewRunTimes()
 	for range 1000 {
 		r.Observe("k", 10*time.Millisecond)
 	}
-	for range 2 * runMemory {
+	for range 2 * runTimesDecay {
 		r.Observe("k", 100*time.Millisecond)
 	}
 	assert.Assert(t, r.Quantile("k", TypicalRunQuantile) > 80*time.Millisecond)
-	for range leastRuns - 1 {
+	for range minRuns - 1 {
 		r.Observe("few", time.Second)
 	}
 	assert.Equal(t, r.Quantile("few", SafeRunQuantile), time.Duration(0))
 }
 
-// What waits is refused while it could still be in time elsewhere, and what
-// cannot be in time waits for the next slots only.
-func TestPatience(t *testing.T) {
+// A request is refused while it could still be in time elsewhere, and a late request only
+// waits for the next slots.
+func TestMaxWait(t *testing.T) {
 	const ms = time.Millisecond
 	for _, c := range []struct {
-		name                  string
-		left, safe, slotEvery time.Duration
-		late                  bool
-		want                  time.Duration
+		name                     string
+		left, safe, slotInterval time.Duration
+		late                     bool
+		want                     time.Duration
 	}{
-		{"objective less the run", 200 * ms, 150 * ms, 8 * ms, false, 50 * ms},
+		{"objective minus run time", 200 * ms, 150 * ms, 8 * ms, false, 50 * ms},
 		{"at least the next slots", 200 * ms, 190 * ms, 8 * ms, false, 16 * ms},
 		{"late", 200 * ms, 50 * ms, 8 * ms, true, 16 * ms},
-		{"nothing known", 200 * ms, 0, 0, false, 200 * ms},
+		{"run times unknown", 200 * ms, 0, 0, false, 200 * ms},
 	} {
-		assert.Equal(t, MaxWait(c.left, c.safe, c.slotEvery, c.late), c.want, c.name)
+		assert.Equal(t, MaxWait(c.left, c.safe, c.slotInterval, c.late), c.want, c.name)
 	}
 }
 
-// Requests whose callers do not come back are known by that, and others are not
-// taken for them however many of theirs are on their last attempt.
-func TestOneShot(t *testing.T) {
+// A route whose callers don't retry is recognised, and one whose callers retry isn't
+// mistaken for it, however many of its requests are on their last attempt.
+func TestRefusalIsFinal(t *testing.T) {
 	r := NewRefusedRequests()
 	at := time.Unix(1000, 0)
 	for i := range 40 {
 		call, own := Identity{Target: "call" + string(rune(i))}, Identity{Target: "own" + string(rune(i))}
 		expiry := at.Add(200 * time.Millisecond)
-		assert.Assert(t, i > habitMin/2 || !r.RefusalIsFinal("call"), "known after %d", i)
+		assert.Assert(t, i > minHistory/2 || !r.RefusalIsFinal("call"), "final after %d refusals", i)
 		r.Add(at, "call", call, at, expiry)
 		first := at
 		for range 2 {
@@ -176,7 +176,7 @@
 		}
 		r.Add(at, "own", own, first, expiry) // the last attempt
 		if i%4 == 0 {
-			r.Add(at, "own", Identity{Target: "left" + string(rune(i))}, at, expiry) // its caller has left
+			r.Add(at, "own", Identity{Target: "left" + string(rune(i))}, at, expiry) // the caller disconnected
 		}
 		at = at.Add(time.Second)
 	}
--- a/internal/overload/runtimes.go
+++ b/internal/overload/runtimes.go
@@ -5,45 +5,44 @@
 	"time"
 )
 
-// Bounds of the buckets of run times: 120 of them, each 1.1 times as wide as the
-// one before, from 1 ms to about 90 s. Quantiles are exact to 10%, far less
-// than one request differs from the next.
+// Buckets of the run time histogram: 120 of them, each 1.1 times as wide as the one
+// before, from 1 ms to about 90 s. Quantiles are accurate to 10%, which is much less than
+// run times of one kind vary.
 const (
-	runBuckets  = 120
-	runBucketBy = 1.1
-	leastRun    = time.Millisecond
+	runBuckets     = 120
+	runBucketRatio = 1.1
+	minRunBucket   = time.Millisecond
 )
 
 const (
-	// runMemory is the number of requests after which an older one counts for a
-	// third: enough for a quantile of 0.75, few enough to notice within a second
-	// or two that an upstream has turned slow.
-	runMemory = 60
-	// leastRuns is the number of requests, by weight, from which on quantiles are
-	// told.
-	leastRuns = 8
-	// maxKinds bounds the kinds whose run times or sizes are remembered.
+	// runTimesDecay is the number of requests after which a sample's weight has fallen to
+	// about a third. That is enough samples for a 0.75 quantile and few enough to notice
+	// within a second or two that an upstream has become slow.
+	runTimesDecay = 60
+	// minRuns is the total weight of samples, in requests, required for a quantile.
+	minRuns = 8
+	// maxKinds bounds the kinds whose run times or response sizes are kept.
 	maxKinds = 64
 )
 
-// RunTimes remembers how long requests of each kind held a slot lately. It is
+// RunTimes keeps statistics of how long recent requests of each kind held a slot. It is
 // not safe for concurrent use.
 type RunTimes struct {
 	kinds map[string]*runTimes
 }
 
-// runTimes is a histogram in which each further sample weighs more than the one
-// before, so that older ones fade.
+// runTimes is a histogram in which each sample has more weight than the one before, so
+// that older ones lose influence.
 type runTimes struct {
 	counts [runBuckets]float64
 	total  float64
 	weight float64 // of the next sample
 }
 
-// NewRunTimes returns an empty memory.
+// NewRunTimes returns run times without samples.
 func NewRunTimes() *RunTimes { return &RunTimes{kinds: make(map[string]*runTimes)} }
 
-// Observe takes in the time that one request of the kind held a slot.
+// Observe adds the time that one request of the kind held a slot.
 func (r *RunTimes) Observe(kind string, took time.Duration) {
 	k, ok := r.kinds[kind]
 	if !ok {
@@ -55,13 +54,13 @@
 	}
 	k.counts[bucketOf(took)] += k.weight
 	k.total += k.weight
-	k.weight *= 1 + 1.0/runMemory
+	k.weight *= 1 + 1.0/runTimesDecay
 	if k.weight > rescaleAt {
 		k.rescale()
 	}
 }
 
-// rescaleAt is the weight at which a histogram is brought back to weight 1.
+// rescaleAt is the sample weight at which a histogram is scaled back to weight 1.
 const rescaleAt = 1e9
 
 func (k *runTimes) rescale() {
@@ -72,11 +71,11 @@
 	k.weight = 1
 }
 
-// Quantile returns the time within which the share q of the requests of the
-// kind ended lately; 0 if too few are known.
+// Quantile returns the q-quantile of the recent run times of the kind; 0 if there are too
+// few samples.
 func (r *RunTimes) Quantile(kind string, q float64) time.Duration {
 	k, ok := r.kinds[kind]
-	if !ok || k.total < leastRuns*k.weight {
+	if !ok || k.total < minRuns*k.weight {
 		return 0
 	}
 	sum := 0.0
@@ -89,8 +88,8 @@
 	return bucketEnd(runBuckets - 1)
 }
 
-// Samples returns how many requests of the kind its quantiles rest on, as older
-// ones count for less.
+// Samples returns the number of requests that the quantiles of a kind are based on, with
+// older requests counting for less than one.
 func (r *RunTimes) Samples(kind string) float64 {
 	k, ok := r.kinds[kind]
 	if !ok {
@@ -100,13 +99,13 @@
 }
 
 func bucketOf(took time.Duration) int {
-	if took <= leastRun {
+	if took <= minRunBucket {
 		return 0
 	}
-	steps := math.Log(float64(took)/float64(leastRun)) / math.Log(runBucketBy)
+	steps := math.Log(float64(took)/float64(minRunBucket)) / math.Log(runBucketRatio)
 	return min(int(math.Ceil(steps)), runBuckets-1)
 }
 
 func bucketEnd(i int) time.Duration {
-	return time.Duration(float64(leastRun) * math.Pow(runBucketBy, float64(i)))
+	return time.Duration(float64(minRunBucket) * math.Pow(runBucketRatio, float64(i)))
 }
--- a/internal/overload/sizes.go
+++ b/internal/overload/sizes.go
@@ -1,16 +1,16 @@
 package overload
 
-// ResponseSizes remembers the mean length of the answers of each kind. It is not safe
-// for concurrent use.
+// ResponseSizes keeps the mean size of the responses of each kind. It is not safe for
+// concurrent use.
 type ResponseSizes struct{ means map[string]float64 }
 
-// sizeSmoothing is the weight of the newest length.
+// sizeSmoothing is the weight of the latest size.
 const sizeSmoothing = 0.1
 
-// NewResponseSizes returns an empty memory.
+// NewResponseSizes returns response sizes without samples.
 func NewResponseSizes() *ResponseSizes { return &ResponseSizes{means: make(map[string]float64)} }
 
-// Observe takes in the length of one answer, in bytes.
+// Observe adds the size of one response body, in bytes.
 func (s *ResponseSizes) Observe(kind string, length int64) {
 	mean, ok := s.means[kind]
 	switch {
@@ -21,5 +21,5 @@
 	}
 }
 
-// Mean is the mean length of the answers of a kind, in bytes; 0 if none is known.
+// Mean returns the mean response size of a kind, in bytes; 0 if unknown.
 func (s *ResponseSizes) Mean(kind string) float64 { return s.means[kind] }
