--- a/internal/membership/bench_test.go
+++ b/internal/membership/bench_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// BenchmarkScale gives the cost of one computation at several fleet sizes, for
-// docs/CAPACITY.md.
+// BenchmarkScale measures one computation at several fleet sizes. docs/CAPACITY.md states
+// the results.
 func BenchmarkScale(b *testing.B) {
 	for _, n := range []int{13, 190, 575, 1150, 2300} {
 		members := fleet(n, min(n, 26), min(n, 7))
--- a/internal/membership/list.go
+++ b/internal/membership/list.go
@@ -1,9 +1,9 @@
-// Package membership knows the instances of the fleet: it combines the
-// platform's list, which lags, with what peers say, and computes from the
-// result the overlay links of a node and the readers of the platform.
+// Package membership tracks the instances of the fleet. It merges the platform's
+// instance list, which lags behind, with the rumors gossiped between nodes. From the
+// result it computes the overlay links of a node and the readers of the platform.
 //
-// All decisions are pure: time is passed in, there are no goroutines and no
-// I/O. Nothing here is ever written to shared state.
+// The package is purely computational: the caller passes the time in, and there are no
+// goroutines, no I/O and no global state.
 package membership
 
 import (
@@ -15,18 +15,18 @@
 	"github.com/walldrift/walldrift/internal/version"
 )
 
-// ListState is what the platform says about an instance.
+// ListState is the state of an instance in the platform's list.
 type ListState string
 
-// The states of the platform's list.
+// The states that the platform's list uses.
 const (
 	ListedLive    ListState = "live"
 	ListedLeaving ListState = "leaving"
 )
 
-// Instance is one upstream instance with its node. Generation is the start
-// time of the node in milliseconds since 1970; a later process under the same
-// name has a higher one.
+// Instance is one upstream instance with its node. Generation is the start time of the
+// node in milliseconds since the Unix epoch, so that a later process under the same name
+// has a higher generation.
 type Instance struct {
 	Name       string         `json:"name" cbor:"1,keyasint"`
 	Service    string         `json:"service" cbor:"2,keyasint"`
@@ -37,18 +37,19 @@
 	Generation uint64         `json:"generation,omitempty" cbor:"7,keyasint,omitempty"`
 }
 
-// List is the platform's list of instances. Revision orders lists; the
-// platform uses the publication time in milliseconds, so that a restored
-// backup does not repeat one.
+// List is the platform's list of instances. Revision orders lists. The platform uses the
+// publication time in milliseconds, so that a list published after a backup was restored
+// does not reuse a revision.
 type List struct {
 	Revision  uint64     `json:"revision"`
 	Instances []Instance `json:"instances"`
 }
 
-// ErrList reports an unusable list.
+// ErrList reports an invalid instance list.
 var ErrList = errors.New("unusable instance list")
 
-// ParseList reads and checks a list. It is a pure function of the bytes.
+// ParseList decodes and validates a list. The result depends on raw only. All errors
+// wrap ErrList.
 func ParseList(raw []byte) (*List, version.ID, error) {
 	var l List
 	if err := json.Unmarshal(raw, &l); err != nil {
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -20,7 +20,7 @@
 	return Instance{Name: name, DataCentre: "dc", Region: "r", Peer: testAddr, State: ListedLive, Generation: generation}
 }
 
-// fleet makes members spread over data centres and regions.
+// fleet returns n members spread over data centres and regions.
 func fleet(n, centres, regions int) []Member {
 	out := make([]Member, n)
 	for i := range out {
@@ -32,8 +32,8 @@
 	return out
 }
 
-// graph computes the links of all members, dialled to the first candidate.
-func graph(members []Member) map[string]map[string]bool {
+// linkGraph returns the links of all members, each to its first candidate.
+func linkGraph(members []Member) map[string]map[string]bool {
 	g := make(map[string]map[string]bool)
 	add := func(a, b string) {
 		if g[a] == nil {
@@ -53,8 +53,9 @@
 	return g
 }
 
-// depth returns the greatest distance from a node and the nodes reached.
-func depth(g map[string]map[string]bool, from string) (far, reached int) {
+// maxDistance returns the greatest distance in hops from a node and the number of nodes
+// that are reachable from it.
+func maxDistance(g map[string]map[string]bool, from string) (far, reached int) {
 	dist := map[string]int{from: 0}
 	queue := []string{from}
 	for len(queue) > 0 {
@@ -73,27 +74,27 @@
 
 func TestOverlayAtTargetSize(t *testing.T) {
 	members := fleet(2300, 26, 7)
-	g := graph(members)
+	g := linkGraph(members)
 	most, sum := 0, 0
 	for _, links := range g {
 		most, sum = max(most, len(links)), sum+len(links)
 	}
-	far, reached := depth(g, "n0000")
+	far, reached := maxDistance(g, "n0000")
 	t.Logf("links per node: mean %.2f, most %d; hops from n0000: at most %d", float64(sum)/float64(len(g)), most, far)
 	assert.Equal(t, reached, 2300)
 	assert.Assert(t, most <= 16, "%d links", most)
-	// Four hops inside each of three data centres and two between them.
+	// Up to four hops inside each of three data centres, and two hops between them.
 	assert.Assert(t, far <= 14, "%d hops", far)
 }
 
-// The overlay connects whoever is there, also after any members are gone.
-func TestOverlayConnectsTheLiving(t *testing.T) {
+// The overlay connects all live members, whichever others are gone.
+func TestOverlayConnectsLiveMembers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		centres := rapid.IntRange(1, 6).Draw(t, "centres")
 		members := fleet(rapid.IntRange(1, 60).Draw(t, "nodes"), centres, rapid.IntRange(1, centres).Draw(t, "regions"))
 		alive, first := 0, ""
 		for i := range members {
-			if rapid.IntRange(0, 3).Draw(t, "fate") == 0 {
+			if rapid.IntRange(0, 3).Draw(t, "gone if 0") == 0 {
 				members[i].Status = Gone
 				continue
 			}
@@ -101,20 +102,20 @@
 			first = members[i].Name
 		}
 		if alive == 0 {
-			t.Skip("nobody")
+			t.Skip("no live member")
 		}
-		_, reached := depth(graph(members), first)
+		_, reached := maxDistance(linkGraph(members), first)
 		assert.Equal(t, reached, alive)
 	})
 }
 
-// One instance's end changes few links of the others.
+// An instance that goes away changes few links between the others.
 func TestOverlayIsStable(t *testing.T) {
 	members := fleet(260, 13, 4)
-	before := graph(members)
+	before := linkGraph(members)
 	gone := members[100].Name
 	members[100].Status = Gone
-	after := graph(members)
+	after := linkGraph(members)
 	changed := 0
 	for name, links := range before {
 		for to := range links {
@@ -126,32 +127,32 @@
 	assert.Assert(t, changed <= 8, "%d links were dropped", changed)
 }
 
-// perCentre is the number of readers of each data centre in these tests.
-const perCentre = 2
+// readersPerCentre is the number of readers of each data centre in the test below.
+const readersPerCentre = 2
 
-func TestReadersFollowOneAnother(t *testing.T) {
+func TestReaderIsReplacedWhenGone(t *testing.T) {
 	members := fleet(100, 4, 2)
 	var readers []int
 	for i, m := range members {
-		if ReaderRank(m.Instance, members) < perCentre {
+		if ReaderRank(m.Instance, members) < readersPerCentre {
 			readers = append(readers, i)
 		}
 	}
-	assert.Equal(t, len(readers), 4*perCentre)
+	assert.Equal(t, len(readers), 4*readersPerCentre)
 	members[readers[0]].Status = Gone
 	count := 0
 	for _, m := range members {
-		if m.Status != Gone && ReaderRank(m.Instance, members) < perCentre {
+		if m.Status != Gone && ReaderRank(m.Instance, members) < readersPerCentre {
 			count++
 		}
 	}
-	assert.Equal(t, count, 4*perCentre, "another node takes over")
+	assert.Equal(t, count, 4*readersPerCentre, "another node must become reader")
 }
 
-// TestViewsAgree floods rumors among views in any order, doubled and delayed,
-// while instances doubt, leave and restart. Oracle: once all rumors have been
-// exchanged, every view says the same of everybody, and nobody who is there
-// and unsuspected at the end is gone.
+// TestViewsAgree delivers rumors to views in any order, duplicated and delayed, while
+// instances suspect each other, leave and restart. Invariant: once all rumors are
+// delivered, each view has the same status for each instance, and no running instance that
+// is not suspected counts as gone.
 func TestViewsAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
@@ -180,7 +181,7 @@
 		name := rapid.SampledFrom(names)
 		t.Repeat(map[string]func(*rapid.T){
 			"hear": func(t *rapid.T) { hear(name.Draw(t, "who"), rapid.SampledFrom(sent).Draw(t, "rumor")) },
-			"doubt": func(t *rapid.T) {
+			"declare suspect": func(t *rapid.T) {
 				if r, ok := views[name.Draw(t, "who")].Suspect(name.Draw(t, "whom"), now); ok {
 					sent = append(sent, r)
 				}
@@ -194,7 +195,7 @@
 			},
 		})
 		for before, rounds := -1, 0; before != len(sent); rounds++ {
-			assert.Assert(t, rounds < 20, "rumors do not come to rest")
+			assert.Assert(t, rounds < 20, "rumors do not converge")
 			before = len(sent)
 			for _, r := range sent {
 				for _, n := range names {
@@ -203,9 +204,9 @@
 			}
 		}
 		now = now.Add(time.Minute)
-		for _, of := range names {
+		for _, subject := range names {
 			for _, n := range names {
-				assert.Equal(t, views[n].Status(of, now), views[of].SelfRumor().Status, "%s about %s", n, of)
+				assert.Equal(t, views[n].Status(subject, now), views[subject].SelfRumor().Status, "view of %s about %s", n, subject)
 			}
 		}
 	})
@@ -222,12 +223,13 @@
 	assert.Equal(t, a.Status("b", now.Add(DefaultConfig().SuspicionTimeout)), Gone)
 	_, refute := b.Apply(r, now)
 	assert.Assert(t, refute != nil)
-	news, _ := a.Apply(*refute, now)
-	assert.Assert(t, news)
+	changed, _ := a.Apply(*refute, now)
+	assert.Assert(t, changed)
 	assert.Equal(t, a.Status("b", now.Add(time.Hour)), Alive)
 }
 
-// The list moves an instance to another address and its join is not heard.
+// An address that changed between two lists replaces that of an earlier announcement, also
+// if the announcement of the moved instance is lost.
 func TestListMovesInstance(t *testing.T) {
 	now := time.Unix(1000, 0)
 	v := NewView(DefaultConfig(), instance("a", 1))
@@ -259,7 +261,7 @@
 	v.Apply(Rumor{Name: "b", Incarnation: 9, Instance: &fresh}, now)
 	assert.Equal(t, v.Status("b", now), Alive)
 	v.SetList(&List{Revision: 2, Instances: []Instance{old}}, now)
-	assert.Equal(t, v.Status("b", now), Alive, "the list still speaks of the earlier process")
+	assert.Equal(t, v.Status("b", now), Alive, "the list still shows the earlier process")
 }
 
 func FuzzParseList(f *testing.F) {
@@ -270,10 +272,10 @@
 	})
 }
 
-// A few nodes read the platform for all data centres, and stay the same while
-// others come and go; the first nodes of the data centres follow them, all others
-// those of their own and of another centre.
-func TestFewReadForAll(t *testing.T) {
+// A few nodes read the platform for all data centres, and stay the same while other nodes
+// join and leave. The readers of each data centre follow them; the other nodes follow one
+// reader of their own and one of another data centre.
+func TestStoreReadersAreFewAndStable(t *testing.T) {
 	const perReader = 4
 	var members []Member
 	add := func(centre string, i int) {
@@ -286,7 +288,7 @@
 	}
 	roster := NewRoster(perReader, members)
 	few := roster.StoreReaders()
-	assert.Equal(t, len(few), storeReaders)
+	assert.Equal(t, len(few), storeReaderCount)
 	centres := make(map[string]bool)
 	for _, m := range members {
 		relays := roster.Readers(m.DataCentre)
@@ -303,7 +305,7 @@
 			assert.Assert(t, slices.Contains(relays, m.Name))
 		}
 	}
-	assert.Equal(t, len(centres), storeReaders, "each in another data centre")
+	assert.Equal(t, len(centres), storeReaderCount, "each in a different data centre")
 	kept := slices.DeleteFunc(slices.Clone(members), func(m Member) bool {
 		return !slices.Contains(few, m.Name) && strings.HasSuffix(m.Name, "3")
 	})
@@ -311,8 +313,8 @@
 	assert.Equal(t, len(NewRoster(perReader, members[:1]).StoreReaders()), 1)
 }
 
-// A roster that was changed node by node is the one of the nodes that are there at last.
-func TestRosterAgainstOneMadeAnew(t *testing.T) {
+// A roster that was changed incrementally equals one built from the final nodes.
+func TestRosterMatchesRebuiltRoster(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(3, 4))
 	known := make(map[string]Member)
 	r := NewRoster(4, nil)
--- a/internal/membership/overlay.go
+++ b/internal/membership/overlay.go
@@ -8,28 +8,27 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Overlay sizes. The same on every node, or the computed links disagree.
+// Overlay sizes. They must be equal on all nodes, or the nodes compute different graphs.
 const (
-	// chordsPerNode is the number of links a node opens inside its data
-	// centre besides the one to its ring successor.
+	// chordsPerNode is the number of links that a node opens inside its data centre in
+	// addition to the link to its ring successor.
 	chordsPerNode = 2
 	// linksPerPair is the number of links between two data centres of a
 	// region, and between two regions.
 	linksPerPair = 2
-	// candidatesPerSlot bounds the substitutes tried for a link to another
-	// data centre.
-	candidatesPerSlot = 6
+	// candidatesPerLink bounds the peers tried for one link to another data centre.
+	candidatesPerLink = 6
 )
 
-// DesiredLink is one link that a node should hold: to the first of the candidates
-// that can be reached. Same-centre slots have one candidate.
+// DesiredLink is one link that a node should hold, to the first reachable candidate. A
+// link inside the data centre has one candidate.
 type DesiredLink struct {
 	Candidates []string
-	Local      bool // inside the data centre
+	Local      bool // the link stays inside the data centre
 }
 
-// score is the rendezvous hash of two names.
-func score(a, b string) uint64 {
+// rendezvousScore returns the rendezvous (highest random weight) hash of two names.
+func rendezvousScore(a, b string) uint64 {
 	h := xxhash.New()
 	_, _ = h.WriteString(a)
 	_, _ = h.Write([]byte{0})
@@ -37,18 +36,18 @@
 	return h.Sum64()
 }
 
-// rank sorts names by their rendezvous score for key, highest first.
-func rank(key string, names []string) []string {
+// rankByScore returns names sorted by their rendezvous score for key, highest first.
+func rankByScore(key string, names []string) []string {
 	type scored struct {
-		name string
-		at   uint64
+		name  string
+		score uint64
 	}
 	all := make([]scored, len(names))
 	for i, n := range names {
-		all[i] = scored{n, score(key, n)}
+		all[i] = scored{n, rendezvousScore(key, n)}
 	}
 	slices.SortFunc(all, func(a, b scored) int {
-		return cmp.Or(cmp.Compare(b.at, a.at), cmp.Compare(a.name, b.name))
+		return cmp.Or(cmp.Compare(b.score, a.score), cmp.Compare(a.name, b.name))
 	})
 	out := make([]string, len(all))
 	for i, s := range all {
@@ -57,7 +56,7 @@
 	return out
 }
 
-// topology groups the usable members by region and data centre.
+// topology groups the members that are not gone by region and data centre.
 type topology struct {
 	centres map[string][]string // data centre to names
 	regions map[string][]string // region to data centres, sorted
@@ -80,25 +79,25 @@
 	return t
 }
 
-// Overlay computes the links that self should open. Every node computes the
-// same graph from the same members: a ring and a few chords inside each data
-// centre, linksPerPair links between the data centres of a region and between
-// regions. One member's coming or going changes only the links at it.
+// Overlay computes the links that self should open. All nodes compute the same graph from
+// the same members: a ring with a few chords inside each data centre, linksPerPair links
+// between each two data centres of a region, and linksPerPair links between each two
+// regions. A member that joins or leaves changes few links other than its own.
 func Overlay(self Instance, members []Member) []DesiredLink {
 	t := newTopology(members)
-	slots := localSlots(self, t.centres[self.DataCentre])
+	links := localLinks(self, t.centres[self.DataCentre])
 	for _, dc := range t.regions[self.Region] {
 		if dc != self.DataCentre {
-			slots = append(slots, pairSlots(self.Name, self.DataCentre, dc, t.centres[self.DataCentre], t.centres[dc])...)
+			links = append(links, groupLinks(self.Name, self.DataCentre, dc, t.centres[self.DataCentre], t.centres[dc])...)
 		}
 	}
-	home := t.members(self.Region)
+	ownRegion := t.members(self.Region)
 	for _, region := range slices.Sorted(maps.Keys(t.regions)) {
 		if region != self.Region {
-			slots = append(slots, pairSlots(self.Name, self.Region, region, home, t.members(region))...)
+			links = append(links, groupLinks(self.Name, self.Region, region, ownRegion, t.members(region))...)
 		}
 	}
-	return slots
+	return links
 }
 
 // members returns the names of all nodes of a region.
@@ -110,40 +109,41 @@
 	return out
 }
 
-func localSlots(self Instance, names []string) []DesiredLink {
-	ring := rank(self.DataCentre, names)
+func localLinks(self Instance, names []string) []DesiredLink {
+	ring := rankByScore(self.DataCentre, names)
 	at := slices.Index(ring, self.Name)
 	if at < 0 || len(ring) < 2 {
 		return nil
 	}
 	next := ring[(at+1)%len(ring)]
-	slots := []DesiredLink{{Candidates: []string{next}, Local: true}}
-	for _, n := range rank(self.Name, names) {
-		if len(slots) > chordsPerNode {
+	links := []DesiredLink{{Candidates: []string{next}, Local: true}}
+	for _, n := range rankByScore(self.Name, names) {
+		if len(links) > chordsPerNode {
 			break
 		}
 		if n != self.Name && n != next {
-			slots = append(slots, DesiredLink{Candidates: []string{n}, Local: true})
+			links = append(links, DesiredLink{Candidates: []string{n}, Local: true})
 		}
 	}
-	return slots
+	return links
 }
 
-// pairSlots gives self's links between the groups a and b. The side with the
-// lesser name dials, so that each link is opened once.
-func pairSlots(self, a, b string, inA, inB []string) []DesiredLink {
+// groupLinks returns self's links between the groups a and b, which are data centres or
+// regions. The group with the smaller name dials, so that each link is opened once.
+func groupLinks(self, a, b string, inA, inB []string) []DesiredLink {
 	if a > b {
 		return nil
 	}
 	key := a + "|" + b
-	mine := rank(key, inA)
+	mine := rankByScore(key, inA)
 	at := slices.Index(mine[:min(linksPerPair, len(mine))], self)
 	if at < 0 {
 		return nil
 	}
-	theirs := rank(key, inB)
-	// Start each link at another partner, then go on to substitutes.
+	theirs := rankByScore(key, inB)
+	// Each link starts at a different peer of the other group; the next peers in rank
+	// are its substitutes.
 	start := at % len(theirs)
 	candidates := append(slices.Clone(theirs[start:]), theirs[:start]...)
-	return []DesiredLink{{Candidates: candidates[:min(candidatesPerSlot, len(candidates))]}}
+	return []DesiredLink{{Candidates: candidates[:min(candidatesPerLink, len(candidates))]}}
 }
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// Status is what a node believes about an instance.
+// Status is the state of an instance as this node knows it.
 type Status uint8
 
-// The statuses in order of precedence at the same incarnation: a later one
-// replaces an earlier one.
+// The statuses in order of precedence: at the same incarnation a higher status replaces a
+// lower one.
 const (
 	Alive Status = iota
 	Suspect
-	Leaving // leaves by its own word or the list's; finishes its work
+	Leaving // announced by the instance itself or by the list; finishes its requests
 	Gone
 )
 
@@ -27,14 +27,15 @@
 // MarshalText encodes the status by its name.
 func (s Status) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
 
-// Rumor is one statement about an instance that travels between nodes.
-// Incarnation starts at the instance's Generation and is raised by the
-// instance itself to refute a suspicion.
+// Rumor is a statement about the status of an instance that nodes gossip. Incarnation
+// starts at the Generation of the instance; the instance itself increments it to refute a
+// suspicion.
 type Rumor struct {
 	Name        string `cbor:"1,keyasint"`
 	Incarnation uint64 `cbor:"2,keyasint"`
 	Status      Status `cbor:"3,keyasint"`
-	// Instance comes with a join, for nodes whose list lags behind it.
+	// Instance is set when an instance announces itself, for nodes whose list does not
+	// show it yet.
 	Instance *Instance `cbor:"4,keyasint,omitempty"`
 }
 
@@ -46,69 +47,70 @@
 	return r.Status > old.Status
 }
 
-// Config holds the timing of the view.
+// Config holds the timeouts and limits of a View.
 type Config struct {
-	// SuspicionTimeout is how long an instance stays suspect before it counts
-	// as gone. Longer forgives longer pauses, shorter leaves a dead peer
-	// sooner. Unit: time; default 5 s.
+	// SuspicionTimeout is how long an instance stays suspect before it counts as gone. A
+	// longer timeout tolerates longer process pauses, a shorter one drops a dead peer
+	// sooner. Default 5 s.
 	SuspicionTimeout time.Duration
-	// JoinGrace is how long an instance known only by its own join is kept
-	// while the platform's list does not show it. Default 60 s.
+	// JoinGrace is how long an instance known from rumors alone is kept while the
+	// platform's list does not contain it. Default 60 s.
 	JoinGrace time.Duration
-	// MaxMembers bounds the instances kept. Default 16384.
+	// MaxMembers bounds the number of known instances. Default 16384.
 	MaxMembers int
 }
 
-// DefaultConfig returns the defaults given at the fields of Config.
+// DefaultConfig returns the default of each field of Config.
 func DefaultConfig() Config {
 	return Config{SuspicionTimeout: 5 * time.Second, JoinGrace: time.Minute, MaxMembers: 16384}
 }
 
-// Member is an instance with the status that this node believes.
+// Member is an instance with all that this node knows of it.
 type Member struct {
 	Instance
 	Status Status
-	// ColdSince is when a process that is slow after its start was first heard of;
-	// zero if it is not known to be.
+	// ColdSince is when this node first learned that the instance is cold, that is slow
+	// after its start; zero if it is not known to be cold.
 	ColdSince time.Time
-	// ColdFrom and ColdUntil are the times, as far as they are published, between which
-	// the instance is cold and bears ColdRate requests a second from this node; a
-	// ColdRate of 0 means any rate.
+	// ColdFrom and ColdUntil bound the published cold start of the instance, during which
+	// this node may send it ColdRate requests per second; 0 means no limit.
 	ColdFrom, ColdUntil time.Time
 	ColdRate            float64
 	// LinkMbps is the rate of its machine's link in Mbit/s; 0 if it is not known.
 	LinkMbps uint32
-	// Evacuated says that operators want nothing sent to the instance: its data centre
-	// is evacuated. It is no word on the instance itself.
+	// Evacuated says that operators evacuated the data centre of the instance, so that no
+	// requests are sent to it. The instance itself may be healthy.
 	Evacuated bool
 }
 
 type entry struct {
-	inst     Instance
-	listed   bool
-	listPeer netip.AddrPort // address in the last list that showed the instance
-	rumor    Rumor
-	hasRumor bool
-	since    time.Time // when the rumor was taken
+	instance   Instance
+	listed     bool
+	listedPeer netip.AddrPort // address in the last list that contained the instance
+	rumor      Rumor
+	hasRumor   bool
+	rumorAt    time.Time // when the rumor was accepted
 }
 
-// View combines list and rumors. It is not safe for concurrent use.
+// View is the membership as one node knows it, merged from the list and from rumors. It
+// is not safe for concurrent use.
 type View struct {
-	cfg     Config
-	self    Instance
-	inc     uint64
-	leaving bool
-	entries map[string]*entry
+	cfg         Config
+	self        Instance
+	incarnation uint64
+	leaving     bool
+	entries     map[string]*entry
 }
 
-// NewView returns the view of the instance self, which knows only itself.
+// NewView returns the view of the instance self, which contains self only.
 func NewView(cfg Config, self Instance) *View {
-	v := &View{cfg: cfg, self: self, inc: self.Generation, entries: make(map[string]*entry)}
-	v.entries[self.Name] = &entry{inst: self, listed: true}
+	v := &View{cfg: cfg, self: self, incarnation: self.Generation, entries: make(map[string]*entry)}
+	v.entries[self.Name] = &entry{instance: self, listed: true}
 	return v
 }
 
-// SetList replaces the platform's list.
+// SetList applies a new version of the platform's list. An instance that the list no
+// longer contains is removed, but kept for Config.JoinGrace after a rumor about it.
 func (v *View) SetList(l *List, now time.Time) {
 	listed := make(map[string]bool, len(l.Instances))
 	for _, in := range l.Instances {
@@ -116,20 +118,20 @@
 			continue
 		}
 		listed[in.Name] = true
-		v.takeListed(in)
+		v.applyListed(in)
 	}
 	for name, e := range v.entries {
 		if name == v.self.Name || listed[name] {
 			continue
 		}
 		e.listed = false
-		if !e.hasRumor || now.Sub(e.since) > v.cfg.JoinGrace {
+		if !e.hasRumor || now.Sub(e.rumorAt) > v.cfg.JoinGrace {
 			delete(v.entries, name)
 		}
 	}
 }
 
-func (v *View) takeListed(in Instance) {
+func (v *View) applyListed(in Instance) {
 	e, ok := v.entries[in.Name]
 	if !ok {
 		if len(v.entries) >= v.cfg.MaxMembers {
@@ -139,20 +141,20 @@
 		v.entries[in.Name] = e
 	}
 	e.listed = true
-	// A join may be newer than the list, which then still names the address
-	// of the previous process; but an address that the list has changed is newer
-	// than the join that came before.
-	moved := e.listPeer.IsValid() && e.listPeer != in.Peer
-	e.listPeer = in.Peer
-	if in.Generation >= e.inst.Generation || moved {
-		e.inst = in
+	// The instance may have announced itself after the list was published, which then
+	// still shows the address of the earlier process. But an address that changed between
+	// two lists is newer than an announcement received before.
+	moved := e.listedPeer.IsValid() && e.listedPeer != in.Peer
+	e.listedPeer = in.Peer
+	if in.Generation >= e.instance.Generation || moved {
+		e.instance = in
 	}
 }
 
-// Apply takes in a rumor and reports whether it was news, to be passed on. If
-// the rumor wrongly doubts this instance itself, refute holds the answer to
-// send.
-func (v *View) Apply(r Rumor, now time.Time) (news bool, refute *Rumor) {
+// Apply applies a rumor and reports whether it changed the view and has to be gossiped
+// further. If the rumor wrongly suspects this instance itself, refute is the rumor to send
+// in response.
+func (v *View) Apply(r Rumor, now time.Time) (changed bool, refute *Rumor) {
 	if r.Status > Gone {
 		return false, nil
 	}
@@ -170,10 +172,10 @@
 	if !v.accepts(e, r) {
 		return false, nil
 	}
-	if r.Instance != nil && r.Instance.Name == r.Name && r.Instance.Generation >= e.inst.Generation {
-		e.inst = *r.Instance
+	if r.Instance != nil && r.Instance.Name == r.Name && r.Instance.Generation >= e.instance.Generation {
+		e.instance = *r.Instance
 	}
-	e.rumor, e.hasRumor, e.since = r, true, now
+	e.rumor, e.hasRumor, e.rumorAt = r, true, now
 	return true, nil
 }
 
@@ -181,80 +183,80 @@
 	if e.hasRumor {
 		return r.supersedes(e.rumor)
 	}
-	return r.Incarnation >= e.inst.Generation
+	return r.Incarnation >= e.instance.Generation
 }
 
 func (v *View) refute(r Rumor) *Rumor {
 	own := v.SelfRumor()
-	if r.Incarnation < v.inc || !r.supersedes(own) {
+	if r.Incarnation < v.incarnation || !r.supersedes(own) {
 		return nil
 	}
-	v.inc = r.Incarnation + 1
+	v.incarnation = r.Incarnation + 1
 	own = v.SelfRumor()
 	return &own
 }
 
-// SelfRumor returns the rumor by which this instance announces itself.
+// SelfRumor returns the rumor that announces this instance.
 func (v *View) SelfRumor() Rumor {
 	inst := v.self
-	r := Rumor{Name: v.self.Name, Incarnation: v.inc, Status: Alive, Instance: &inst}
+	r := Rumor{Name: v.self.Name, Incarnation: v.incarnation, Status: Alive, Instance: &inst}
 	if v.leaving {
 		r.Status = Leaving
 	}
 	return r
 }
 
-// SetLeaving marks this instance as leaving, or as staying after all, and returns
-// the rumor to send.
+// SetLeaving marks this instance as leaving, or revokes that, and returns the rumor to
+// send.
 func (v *View) SetLeaving(leaving bool) Rumor {
 	if v.leaving && !leaving {
-		v.inc++ // alive replaces leaving only at a higher incarnation
+		v.incarnation++ // alive replaces leaving only at a higher incarnation
 	}
 	v.leaving = leaving
 	return v.SelfRumor()
 }
 
-// Suspect returns the rumor that the named instance does not answer, or false
-// if it is unknown or already doubted.
+// Suspect marks the named instance as suspect because it does not respond, and returns the
+// rumor to send. It returns false if the instance is unknown or not alive.
 func (v *View) Suspect(name string, now time.Time) (Rumor, bool) {
 	e, ok := v.entries[name]
 	if !ok || name == v.self.Name || v.status(e, now) != Alive {
 		return Rumor{}, false
 	}
-	r := Rumor{Name: name, Incarnation: v.incarnation(e), Status: Suspect}
-	news, _ := v.Apply(r, now)
-	return r, news
+	r := Rumor{Name: name, Incarnation: v.incarnationOf(e), Status: Suspect}
+	changed, _ := v.Apply(r, now)
+	return r, changed
 }
 
-func (v *View) incarnation(e *entry) uint64 {
+func (v *View) incarnationOf(e *entry) uint64 {
 	if e.hasRumor {
-		return max(e.rumor.Incarnation, e.inst.Generation)
+		return max(e.rumor.Incarnation, e.instance.Generation)
 	}
-	return e.inst.Generation
+	return e.instance.Generation
 }
 
-// status combines list and rumor for one entry.
+// status merges list and rumor of one entry.
 func (v *View) status(e *entry, now time.Time) Status {
 	st := Alive
-	if e.hasRumor && e.rumor.Incarnation >= e.inst.Generation {
+	if e.hasRumor && e.rumor.Incarnation >= e.instance.Generation {
 		st = e.rumor.Status
-		if st == Suspect && now.Sub(e.since) >= v.cfg.SuspicionTimeout {
+		if st == Suspect && now.Sub(e.rumorAt) >= v.cfg.SuspicionTimeout {
 			st = Gone
 		}
 	}
-	// The list says leaving of this very process or an earlier one; a later
-	// process under the same name has announced a higher incarnation.
-	if e.inst.State == ListedLeaving && st < Leaving {
+	// A leaving state of the list is about the process whose generation e.instance has, or
+	// an earlier one. A later process under the same name replaces e.instance when it
+	// announces itself.
+	if e.instance.State == ListedLeaving && st < Leaving {
 		st = Leaving
 	}
-	if !e.listed && now.Sub(e.since) > v.cfg.JoinGrace {
+	if !e.listed && now.Sub(e.rumorAt) > v.cfg.JoinGrace {
 		st = Gone
 	}
 	return st
 }
 
-// Status returns what is believed about the named instance; unknown ones are
-// Gone.
+// Status returns the status of the named instance; an unknown one is Gone.
 func (v *View) Status(name string, now time.Time) Status {
 	if name == v.self.Name {
 		return v.SelfRumor().Status
@@ -271,12 +273,13 @@
 	out := make([]Member, 0, len(v.entries))
 	for _, name := range slices.Sorted(maps.Keys(v.entries)) {
 		e := v.entries[name]
-		out = append(out, Member{Instance: e.inst, Status: v.Status(name, now)})
+		out = append(out, Member{Instance: e.instance, Status: v.Status(name, now)})
 	}
 	return out
 }
 
-// NonAliveRumors returns the rumors that differ from Alive, which a new link is told.
+// NonAliveRumors returns the rumors about instances that are not alive, which a node sends
+// over each new link.
 func (v *View) NonAliveRumors() []Rumor {
 	var out []Rumor
 	for _, name := range slices.Sorted(maps.Keys(v.entries)) {
