--- a/internal/finding/finding.go
+++ b/internal/finding/finding.go
@@ -1,4 +1,4 @@
-// Package finding holds a list of defects that are reported together.
+// Package finding provides an error that reports several defects together.
 package finding
 
 import (
@@ -6,11 +6,11 @@
 	"strings"
 )
 
-// List collects defects, each with its place in its text. It is an error when
-// not empty.
+// List is a list of defects, each of which says in its text where it was found. Use it as
+// an error only if it is not empty.
 type List[T fmt.Stringer] []T
 
-// Error lists all findings, one a line.
+// Error returns all findings, one per line.
 func (l List[T]) Error() string {
 	lines := make([]string, len(l))
 	for i, f := range l {
--- a/internal/snapshot/service.go
+++ b/internal/snapshot/service.go
@@ -8,26 +8,26 @@
 	"github.com/walldrift/walldrift/internal/table"
 )
 
-// Upstream is one target of a service.
+// Upstream is one instance of a service.
 type Upstream struct {
 	table.Upstream
-	// DataCentre is where it stands, if that is known with its name.
+	// DataCentre is the upstream's data centre, or empty if not known.
 	DataCentre string
 }
 
 // Service is a service with its upstreams, sorted by name. It must not be changed.
 type Service struct {
 	table.Service
-	Upstreams []*Upstream
-	centres   map[string][]*Upstream // the same by data centre
+	Upstreams    []*Upstream
+	byDataCentre map[string][]*Upstream // Upstreams by data centre
 }
 
-// NewService returns a service with upstreams.
+// NewService returns a service with the given upstreams, in any order.
 func NewService(row table.Service, upstreams ...*Upstream) *Service {
 	return (&Service{Service: row}).Change(upstreams, nil)
 }
 
-// TotalWeight is the sum of the weights of its upstreams.
+// TotalWeight returns the sum of the upstreams' weights.
 func (s *Service) TotalWeight() float64 {
 	sum := 0.0
 	for _, u := range s.Upstreams {
@@ -36,67 +36,71 @@
 	return sum
 }
 
-// In returns the upstreams of a data centre, sorted by name.
-func (s *Service) In(centre string) []*Upstream { return s.centres[centre] }
+// In returns the upstreams in a data centre, sorted by name.
+func (s *Service) In(dataCentre string) []*Upstream { return s.byDataCentre[dataCentre] }
 
 // Upstream returns the named upstream of the service, or nil.
 func (s *Service) Upstream(name string) *Upstream {
-	if at, ok := find(s.Upstreams, name); ok {
-		return s.Upstreams[at]
+	if position, ok := findByName(s.Upstreams, name); ok {
+		return s.Upstreams[position]
 	}
 	return nil
 }
 
-func find(upstreams []*Upstream, name string) (at int, ok bool) {
+// findByName returns the position of the named upstream and whether it was found. If not,
+// the position is where it would be inserted.
+func findByName(upstreams []*Upstream, name string) (position int, ok bool) {
 	return slices.BinarySearchFunc(upstreams, name, func(u *Upstream, name string) int { return strings.Compare(u.Name, name) })
 }
 
-// Change returns the service with upstreams set and others taken out. It shares with s all
-// that stays.
-func (s *Service) Change(set []*Upstream, gone []string) *Service {
-	setIn, goneIn := make(map[string][]*Upstream), make(map[string][]string)
-	leave := func(name, centre string) {
-		if old := s.Upstream(name); old != nil && old.DataCentre != centre {
-			goneIn[old.DataCentre] = append(goneIn[old.DataCentre], name)
+// Change returns a copy of the service in which the upstreams of set are added or
+// replaced by name and those named in removed are left out. Names in removed that s does
+// not have are ignored. The upstreams that stay are shared with s, which is not modified.
+func (s *Service) Change(set []*Upstream, removed []string) *Service {
+	setIn, removedIn := make(map[string][]*Upstream), make(map[string][]string)
+	removeIfMoved := func(name, dataCentre string) {
+		if old := s.Upstream(name); old != nil && old.DataCentre != dataCentre {
+			removedIn[old.DataCentre] = append(removedIn[old.DataCentre], name)
 		}
 	}
 	for _, u := range set {
 		setIn[u.DataCentre] = append(setIn[u.DataCentre], u)
-		leave(u.Name, u.DataCentre)
+		removeIfMoved(u.Name, u.DataCentre)
 	}
-	for _, name := range gone {
+	for _, name := range removed {
 		if old := s.Upstream(name); old != nil {
-			goneIn[old.DataCentre] = append(goneIn[old.DataCentre], name)
+			removedIn[old.DataCentre] = append(removedIn[old.DataCentre], name)
 		}
 	}
-	next := &Service{Service: s.Service, Upstreams: changed(s.Upstreams, set, gone), centres: maps.Clone(s.centres)}
-	if next.centres == nil {
-		next.centres = make(map[string][]*Upstream)
+	next := &Service{Service: s.Service, Upstreams: withChanges(s.Upstreams, set, removed), byDataCentre: maps.Clone(s.byDataCentre)}
+	if next.byDataCentre == nil {
+		next.byDataCentre = make(map[string][]*Upstream)
 	}
-	for centre, names := range goneIn {
-		next.centres[centre] = changed(next.centres[centre], nil, names)
+	for dataCentre, names := range removedIn {
+		next.byDataCentre[dataCentre] = withChanges(next.byDataCentre[dataCentre], nil, names)
 	}
-	for centre, some := range setIn {
-		next.centres[centre] = changed(next.centres[centre], some, nil)
+	for dataCentre, upstreams := range setIn {
+		next.byDataCentre[dataCentre] = withChanges(next.byDataCentre[dataCentre], upstreams, nil)
 	}
 	return next
 }
 
-// changed returns a copy of upstreams with some set and others taken out.
-func changed(upstreams, set []*Upstream, gone []string) []*Upstream {
+// withChanges returns a copy of upstreams, sorted by name, without those named in removed
+// and with those of set added or replaced.
+func withChanges(upstreams, set []*Upstream, removed []string) []*Upstream {
 	next := make([]*Upstream, len(upstreams), len(upstreams)+len(set))
 	copy(next, upstreams)
-	for _, name := range gone {
-		if at, ok := find(next, name); ok {
-			next = slices.Delete(next, at, at+1)
+	for _, name := range removed {
+		if position, ok := findByName(next, name); ok {
+			next = slices.Delete(next, position, position+1)
 		}
 	}
 	for _, u := range set {
-		at, ok := find(next, u.Name)
+		position, ok := findByName(next, u.Name)
 		if ok {
-			next[at] = u
+			next[position] = u
 		} else {
-			next = slices.Insert(next, at, u)
+			next = slices.Insert(next, position, u)
 		}
 	}
 	return next
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -1,10 +1,10 @@
-// Package snapshot builds the immutable, indexed form of one table version
-// that all readers hold.
+// Package snapshot provides the immutable, indexed form of one version of the table, which
+// all readers share.
 //
-// A snapshot is closed: every service and upstream that a route names is in
-// it. Build checks that anew, so that a defect in the acceptance check cannot
-// put a dangling route into a proxy. Holder swaps snapshots with one pointer
-// store and never moves back.
+// Every service and upstream that a route names is in the snapshot; a table with this
+// property is called closed. The package verifies it although the check of the table
+// does, too, so that a fault in that check cannot give a proxy a route that leads
+// nowhere. Holder replaces the snapshot in force atomically, and only by a newer one.
 package snapshot
 
 import (
@@ -19,36 +19,38 @@
 	"github.com/walldrift/walldrift/internal/version"
 )
 
-// ErrNotClosed reports a route to a service or upstream that is not in the
-// table.
+// ErrNotClosed reports a route or an upstream that names a service or an upstream that is
+// not in the table.
 var ErrNotClosed = errors.New("table is not closed")
 
-// Route is a route of the table. Its services, and the upstream that it may name, are in
-// every snapshot that has it.
+// Route is a route of the table. The services that it names, and the upstream that it may
+// be pinned to, are in every snapshot that has the route.
 type Route struct{ table.Route }
 
-// Layout is what a version of the table says, indexed, but for the upstreams: they change
-// while the version stays. It must not be changed.
+// Layout is one version of the table, indexed, without upstreams. Upstreams that come
+// from the store change while the version of the table stays the same. A Layout must not
+// be changed.
 type Layout struct {
 	ID     version.ID
 	Raw    []byte
 	Table  *table.Table
 	routes []*Route            // longest prefix first
-	hosts  map[string][]*Route // the same by host
+	hosts  map[string][]*Route // routes by host
 }
 
-// Snapshot is one version of the table with its upstreams, indexed. It must not be
+// Snapshot is one version of the table with the upstreams, indexed. It must not be
 // changed.
 type Snapshot struct {
 	*Layout
-	// Directory orders snapshots of one table whose upstreams are discovered
-	// and not named by the table; 0 otherwise.
+	// Directory increases with every change of the upstreams if these come from the
+	// store. It orders the snapshots of one version of the table. It is 0 if the table
+	// lists the upstreams.
 	Directory uint64
 	services  map[string]*Service
 }
 
-// Build checks the raw table and returns its snapshot. A refused table gives
-// table.Findings as the error.
+// Build checks a raw table and returns its snapshot. If the table has defects, the error
+// is table.Findings.
 func Build(raw []byte) (*Snapshot, error) {
 	t, findings := table.Parse(raw)
 	if len(findings) > 0 {
@@ -57,8 +59,8 @@
 	return FromTable(t, version.Of(t.Edition, raw), raw)
 }
 
-// FromTable returns the snapshot of a table that is known to be acceptable, with the
-// upstreams that it names. A table that is not closed gives ErrNotClosed.
+// FromTable returns the snapshot of a table that has passed the check, with the upstreams
+// that the table lists. If the table is not closed, the error is ErrNotClosed.
 func FromTable(t *table.Table, id version.ID, raw []byte) (*Snapshot, error) {
 	upstreams := make(map[string][]*Upstream, len(t.Services))
 	for _, row := range t.Upstreams {
@@ -70,12 +72,12 @@
 		delete(upstreams, row.Name)
 	}
 	for name := range upstreams {
-		return nil, errors.Wrapf(ErrNotClosed, "an upstream names service %q", name)
+		return nil, errors.Wrapf(ErrNotClosed, "an upstream names unknown service %q", name)
 	}
 	for _, r := range t.Routes {
 		svc, ok := services[r.Service]
 		if ok && r.Upstream != "" && svc.Upstream(r.Upstream) == nil {
-			return nil, errors.Wrapf(ErrNotClosed, "route %q names upstream %q", r.Name, r.Upstream)
+			return nil, errors.Wrapf(ErrNotClosed, "route %q names unknown upstream %q", r.Name, r.Upstream)
 		}
 	}
 	layout, err := NewLayout(t, id, raw)
@@ -85,44 +87,45 @@
 	return layout.Snapshot(0, services), nil
 }
 
-// NewLayout indexes a table that is known to be acceptable. One that is not closed gives
-// ErrNotClosed.
+// NewLayout indexes a table that has passed the check. If a route names a service that is
+// not in the table, the error is ErrNotClosed.
 func NewLayout(t *table.Table, id version.ID, raw []byte) (*Layout, error) {
 	l := &Layout{ID: id, Raw: raw, Table: t}
 	return l, l.addRoutes(t)
 }
 
-// Snapshot returns the layout with the upstreams of its services. A service without any is
-// allowed: its may be discovered later.
+// Snapshot returns the snapshot of this version with the given services, by name. A
+// service may be without upstreams: they may be discovered later.
 func (l *Layout) Snapshot(directory uint64, services map[string]*Service) *Snapshot {
 	return &Snapshot{Layout: l, Directory: directory, services: services}
 }
 
-// addRoutes adds the routes, in one piece of memory.
+// addRoutes indexes the routes. It allocates them together instead of one by one.
 func (l *Layout) addRoutes(t *table.Table) error {
 	services := make(map[string]bool, len(t.Services))
 	for _, svc := range t.Services {
 		services[svc.Name] = true
 	}
-	built := make([]Route, len(t.Routes))
+	backing := make([]Route, len(t.Routes))
 	l.routes = make([]*Route, 0, len(t.Routes))
 	for i, row := range t.Routes {
 		if !services[row.Service] {
-			return errors.Wrapf(ErrNotClosed, "route %q names service %q", row.Name, row.Service)
+			return errors.Wrapf(ErrNotClosed, "route %q names unknown service %q", row.Name, row.Service)
 		}
 		for _, share := range row.Split {
 			if !services[share.Service] {
-				return errors.Wrapf(ErrNotClosed, "route %q names service %q", row.Name, share.Service)
+				return errors.Wrapf(ErrNotClosed, "route %q names unknown service %q", row.Name, share.Service)
 			}
 		}
-		built[i].Route = row
-		l.routes = append(l.routes, &built[i])
+		backing[i].Route = row
+		l.routes = append(l.routes, &backing[i])
 	}
 	slices.SortStableFunc(l.routes, func(a, b *Route) int {
 		if d := len(b.Prefix) - len(a.Prefix); d != 0 {
 			return d
 		}
-		// A route that names its methods is more specific than one for all.
+		// Of routes with prefixes of the same length, those limited to methods precede
+		// those for all methods.
 		return len(b.Methods) - len(a.Methods)
 	})
 	l.hosts = make(map[string][]*Route)
@@ -145,8 +148,8 @@
 	return nil
 }
 
-// WithUpstreams returns the table with the upstreams of the snapshot as rows, by service
-// and name.
+// WithUpstreams returns a copy of the table with the snapshot's upstreams as its rows, in
+// the order of the services and then by name.
 func (s *Snapshot) WithUpstreams() *table.Table {
 	t := *s.Table
 	t.Upstreams = nil
@@ -164,8 +167,8 @@
 // Routes returns all routes, longest prefix first.
 func (l *Layout) Routes() []*Route { return l.routes }
 
-// Match returns the route for a request, or nil. Routes of the request's host
-// precede those of any host. The host may bear a port.
+// Match returns the route for a request, or nil. A route for the request's host takes
+// precedence over one for any host. The host may include a port.
 func (l *Layout) Match(host, method, path string) *Route {
 	if name, _, ok := strings.Cut(host, ":"); ok {
 		host = name
@@ -176,11 +179,11 @@
 	return match(l.hosts[""], method, path)
 }
 
-// Route is Match for a request of no particular host.
+// Route is like Match, but considers only the routes for any host.
 func (l *Layout) Route(method, path string) *Route { return match(l.hosts[""], method, path) }
 
-// match returns the first of the routes, longest prefix first, that takes the
-// request. A prefix matches whole path segments only.
+// match returns the first of the routes that matches the method and path. The routes must
+// be in order, longest prefix first.
 func match(routes []*Route, method, path string) *Route {
 	for _, r := range routes {
 		if !matchPrefix(r.Prefix, path) {
@@ -193,6 +196,8 @@
 	return nil
 }
 
+// matchPrefix reports whether the path begins with the prefix. Only complete path segments
+// match: /a does not match /ab.
 func matchPrefix(prefix, path string) bool {
 	if !strings.HasPrefix(path, prefix) {
 		return false
@@ -200,7 +205,7 @@
 	return len(path) == len(prefix) || strings.HasSuffix(prefix, "/") || path[len(prefix)] == '/'
 }
 
-// Holder keeps the snapshot in force. Reads are one atomic load.
+// Holder holds the snapshot in force. Reading it takes one atomic load.
 type Holder struct {
 	mu  sync.Mutex // serialises Advance
 	cur atomic.Pointer[Snapshot]
@@ -217,8 +222,8 @@
 	return version.ID{}
 }
 
-// Advance puts s in force if it is newer than the held one and reports
-// whether it did. The held version never goes back.
+// Advance puts s in force if it is newer than the current snapshot: by its version or, if
+// that is the same, by Directory. It reports whether it did.
 func (h *Holder) Advance(s *Snapshot) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -12,7 +12,7 @@
 	"github.com/walldrift/walldrift/internal/version"
 )
 
-// drawTable draws a table that often has dangling references.
+// drawTable draws a raw table that often names services or upstreams that do not exist.
 func drawTable(t *rapid.T) []byte {
 	var b strings.Builder
 	header := make([]string, len(table.Header))
@@ -26,17 +26,17 @@
 		fmt.Fprintf(&b, "service,%c,,,,,,,,,,,,\n", 'a'+rune(i))
 	}
 	for i := range rapid.IntRange(1, 4).Draw(t, "upstreams") {
-		fmt.Fprintf(&b, "upstream,u%d,%s,,%d,,,,,,,,,\n", i, name.Draw(t, "of"), rapid.IntRange(0, 2).Draw(t, "weight"))
+		fmt.Fprintf(&b, "upstream,u%d,%s,,%d,,,,,,,,,\n", i, name.Draw(t, "service of upstream"), rapid.IntRange(0, 2).Draw(t, "weight"))
 	}
 	for i := range rapid.IntRange(0, 3).Draw(t, "routes") {
 		pin := rapid.SampledFrom([]string{"", "", "u0", "u1", "u9"}).Draw(t, "pin")
-		fmt.Fprintf(&b, "route,r%d,%s,%s,,,,/%d,,k,1,100,0,yes\n", i, name.Draw(t, "to"), pin, i)
+		fmt.Fprintf(&b, "route,r%d,%s,%s,,,,/%d,,k,1,100,0,yes\n", i, name.Draw(t, "service of route"), pin, i)
 	}
 	return []byte(b.String())
 }
 
-// An accepted table is closed: each route leads to a service and an upstream
-// of the same snapshot.
+// In an accepted table, each route leads to a service with upstreams and, if it is
+// pinned, to an upstream of that service, all in the same snapshot.
 func TestAcceptedTablesAreClosed(t *testing.T) {
 	accepted := 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -59,8 +59,8 @@
 	assert.Assert(t, accepted > 0, "no drawn table was accepted")
 }
 
-// Holder against the simplest oracle: the largest ID offered so far.
-func TestHolderNeverGoesBack(t *testing.T) {
+// The version in force is always the highest one passed to Advance so far.
+func TestHolderNeverRevertsVersion(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var h Holder
 		var want version.ID
@@ -99,13 +99,14 @@
 	}
 }
 
-// A changed service has what was set and not what is gone; the one before stays as it was.
-func TestChangedService(t *testing.T) {
-	up := func(name string, slots int) *Upstream {
+// Change sets and removes upstreams, also in the index by data centre, and leaves the
+// original service unmodified.
+func TestServiceChange(t *testing.T) {
+	newUpstream := func(name string, slots int) *Upstream {
 		return &Upstream{Upstream: table.Upstream{Name: name, Concurrency: slots}, DataCentre: "dc" + name[:1]}
 	}
-	s := NewService(table.Service{}, up("b", 1), up("d", 1), up("a", 1))
-	next := s.Change([]*Upstream{up("c", 2), up("b", 2)}, []string{"d", "x"})
+	s := NewService(table.Service{}, newUpstream("b", 1), newUpstream("d", 1), newUpstream("a", 1))
+	next := s.Change([]*Upstream{newUpstream("c", 2), newUpstream("b", 2)}, []string{"d", "x"})
 	var names []string
 	for _, u := range next.Upstreams {
 		names = append(names, u.Name)
@@ -114,11 +115,11 @@
 	assert.Equal(t, next.Upstream("b").Concurrency, 2)
 	assert.Equal(t, s.Upstream("b").Concurrency, 1)
 	assert.Equal(t, len(s.Upstreams), 3)
-	moved := up("b", 2)
+	moved := newUpstream("b", 2)
 	moved.DataCentre = "dcc"
-	last := next.Change([]*Upstream{moved}, nil)
-	assert.Equal(t, len(last.In("dcb")), 0)
-	assert.Equal(t, len(last.In("dcc")), 2)
+	afterMove := next.Change([]*Upstream{moved}, nil)
+	assert.Equal(t, len(afterMove.In("dcb")), 0)
+	assert.Equal(t, len(afterMove.In("dcc")), 2)
 	assert.Equal(t, len(next.In("dcb")), 1)
 	assert.Equal(t, len(next.In("dcd")), 0)
 }
--- a/internal/version/version_test.go
+++ b/internal/version/version_test.go
@@ -7,6 +7,8 @@
 	"pgregory.net/rapid"
 )
 
+// drawID draws an ID from only a few values, so that equal editions and equal IDs are
+// common.
 func drawID(t *rapid.T, label string) ID {
 	id := ID{Edition: rapid.Uint64Range(0, 3).Draw(t, label+" edition")}
 	id.Digest[0] = rapid.ByteRange(0, 2).Draw(t, label+" digest")
@@ -24,7 +26,7 @@
 	})
 }
 
-func TestEditionGoesBeforeDigest(t *testing.T) {
+func TestEditionTakesPrecedenceOverDigest(t *testing.T) {
 	assert.Assert(t, Of(2, []byte("a")).Newer(Of(1, []byte("b"))))
 	assert.Assert(t, Of(2, []byte("b")).Newer(Of(1, []byte("a"))))
 	assert.Assert(t, Of(1, nil).Newer(ID{}))
