--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -11,15 +11,15 @@
 	"github.com/walldrift/walldrift/internal/finding"
 )
 
-// Finding is one defect of the settings, with its place.
+// Finding is one defect of the settings.
 type Finding struct {
 	File    string
-	Line    int // 0 if the value does not stand in the file
-	Key     string
+	Line    int    // from 1; 0 if the value is not in the file
+	Key     string // as section.key
 	Message string
 }
 
-// String formats the finding as file:line: key: message.
+// String formats the finding as "file:line: section.key: message".
 func (f Finding) String() string {
 	place := f.File
 	if f.Line > 0 {
@@ -31,20 +31,21 @@
 	return fmt.Sprintf("%s: %s: %s", place, f.Key, f.Message)
 }
 
-// Findings collects all defects. It is an error when not empty.
+// Findings is the list of all defects. Use it as an error only if it is not empty.
 type Findings = finding.List[Finding]
 
-// Overrides replaces values of the file: section.key to value.
+// Overrides maps section.key to a value that replaces that of the file.
 type Overrides map[string]string
 
-// envPrefix precedes the names of environment variables, as in
-// WALLDRIFT_LISTEN_CALLERS.
+// envPrefix begins the names of environment variables: WALLDRIFT_LISTEN_CALLERS overrides
+// listen.callers.
 const envPrefix = "WALLDRIFT_"
 
-// Environment returns the overrides of a node's settings in the environment.
-func Environment() Overrides { return environment(fields) }
+// Environment returns the overrides of a node's settings from environment variables.
+func Environment() Overrides { return environmentOverrides(nodeFields) }
 
-func environment[T any](fields []Field[T]) Overrides {
+// environmentOverrides returns the values of the fields that environment variables set.
+func environmentOverrides[T any](fields []Field[T]) Overrides {
 	o := make(Overrides)
 	for _, f := range fields {
 		name := envPrefix + strings.ToUpper(f.Section+"_"+f.Key)
@@ -55,7 +56,7 @@
 	return o
 }
 
-// ParseOverrides reads section.key=value pairs.
+// ParseOverrides parses section.key=value pairs.
 func ParseOverrides(pairs []string) (Overrides, error) {
 	o := make(Overrides, len(pairs))
 	for _, p := range pairs {
@@ -68,8 +69,8 @@
 	return o, nil
 }
 
-// Load reads the file and applies overrides, the later ones last. The error
-// is Findings if the file could be read.
+// Load reads the settings file of a node and applies overrides, of which later ones take
+// precedence. If the file can be read but has defects, the error is Findings.
 func Load(file string, overrides ...Overrides) (*Node, error) {
 	raw, err := os.ReadFile(file)
 	if err != nil {
@@ -78,29 +79,31 @@
 	return Parse(file, raw, overrides...)
 }
 
-// Parse is Load for bytes already read.
+// Parse is like Load, but takes the content of the file from raw.
 func Parse(file string, raw []byte, overrides ...Overrides) (*Node, error) {
-	return parse(fields, file, raw, overrides)
+	return parseFields(nodeFields, file, raw, overrides)
 }
 
-func parse[T any](fields []Field[T], file string, raw []byte, overrides []Overrides) (*T, error) {
+// parseFields parses a settings file, applies overrides and checks each of the fields.
+func parseFields[T any](fields []Field[T], file string, raw []byte, overrides []Overrides) (*T, error) {
 	cfg, err := ini.LoadSources(ini.LoadOptions{Loose: false}, raw)
 	if err != nil {
 		return nil, Findings{{File: file, Message: err.Error()}}
 	}
-	l := &loader{file: file, lines: strings.Split(string(raw), "\n"), known: names(fields)}
+	l := &loader{file: file, lines: strings.Split(string(raw), "\n"), known: knownNames(fields)}
 	l.rejectUnknown(cfg)
-	node := new(T)
+	parsed := new(T)
 	for _, f := range fields {
-		apply(l, node, cfg, f, overrides)
+		applyField(l, parsed, cfg, f, overrides)
 	}
 	l.rejectUnknownOverrides(overrides)
 	if len(l.findings) > 0 {
 		return nil, l.findings
 	}
-	return node, nil
+	return parsed, nil
 }
 
+// loader collects the findings for one settings file.
 type loader struct {
 	file     string
 	lines    []string
@@ -108,7 +111,8 @@
 	findings Findings
 }
 
-func names[T any](fields []Field[T]) map[string]bool {
+// knownNames returns section.key of each field.
+func knownNames[T any](fields []Field[T]) map[string]bool {
 	known := make(map[string]bool, len(fields))
 	for _, f := range fields {
 		known[f.Section+"."+f.Key] = true
@@ -116,11 +120,13 @@
 	return known
 }
 
-func (l *loader) add(line int, key, message string) {
+func (l *loader) addFinding(line int, key, message string) {
 	l.findings = append(l.findings, Finding{File: l.file, Line: line, Key: key, Message: message})
 }
 
-func apply[T any](l *loader, n *T, cfg *ini.File, f Field[T], overrides []Overrides) {
+// applyField stores the value of a setting: that of the last override that has it, or
+// that of the file, or the default.
+func applyField[T any](l *loader, n *T, cfg *ini.File, f Field[T], overrides []Overrides) {
 	name := f.Section + "." + f.Key
 	value, line := f.Default, 0
 	if s, err := cfg.GetSection(f.Section); err == nil && s.HasKey(f.Key) {
@@ -132,14 +138,14 @@
 		}
 	}
 	if value == "" && f.Required {
-		l.add(line, name, "a value is needed")
+		l.addFinding(line, name, "a value is needed")
 		return
 	}
 	if value == "" && f.Default == "" && !f.Required {
 		return
 	}
 	if err := f.set(n, value); err != nil {
-		l.add(line, name, err.Error())
+		l.addFinding(line, name, err.Error())
 	}
 }
 
@@ -147,7 +153,7 @@
 	for _, s := range cfg.Sections() {
 		for _, k := range s.Keys() {
 			if !l.known[s.Name()+"."+k.Name()] {
-				l.add(l.lineOf(s.Name(), k.Name()), s.Name()+"."+k.Name(), "unknown setting")
+				l.addFinding(l.lineOf(s.Name(), k.Name()), s.Name()+"."+k.Name(), "unknown setting")
 			}
 		}
 	}
@@ -157,13 +163,13 @@
 	for _, o := range overrides {
 		for name := range o {
 			if !l.known[name] {
-				l.add(0, name, "unknown setting in an override")
+				l.addFinding(0, name, "unknown setting in an override")
 			}
 		}
 	}
 }
 
-// lineOf finds the line of a key, from 1; 0 if it is not there.
+// lineOf returns the line number of a key, from 1, or 0 if the file does not have it.
 func (l *loader) lineOf(section, key string) int {
 	current := ini.DefaultSection
 	for i, line := range l.lines {
@@ -180,10 +186,11 @@
 	return 0
 }
 
-// Defaults returns settings with every default set and the required ones empty.
-func Defaults() (*Node, error) { return defaults(fields) }
+// Defaults returns the default settings of a node. Required settings are left empty.
+func Defaults() (*Node, error) { return defaultsOf(nodeFields) }
 
-func defaults[T any](fields []Field[T]) (*T, error) {
+// defaultsOf returns settings in which only the fields with a default are set.
+func defaultsOf[T any](fields []Field[T]) (*T, error) {
 	n := new(T)
 	for _, f := range fields {
 		if f.Default == "" {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,6 +1,6 @@
-// Package settings reads the INI file of a node, with overrides from the
-// environment and from flags. All findings are collected with file, line and
-// key and reported together.
+// Package settings reads the INI file of a node or sidecar, with overrides from
+// environment variables and flags. All defects are reported together, with file, line and
+// key.
 package settings
 
 import (
@@ -11,15 +11,17 @@
 	"github.com/walldrift/walldrift/internal/distribution"
 )
 
-// Node holds the checked settings of one node.
+// Node holds the checked settings of a node that gets its table from the platform's
+// configuration service and identifies itself with a certificate. For the meaning of each
+// setting, see Fields.
 type Node struct {
 	Name       string
 	Service    string
 	DataCentre string
 	Region     string
 
-	Callers netip.AddrPort // TCP, HTTP from callers
-	Peers   netip.AddrPort // UDP, other nodes
+	Callers netip.AddrPort // TCP, HTTP requests from callers
+	Peers   netip.AddrPort // UDP, traffic with other nodes
 	Admin   netip.AddrPort // TCP, status, metrics and health
 
 	Upstream     *url.URL
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -10,7 +10,7 @@
 	"gotest.tools/v3/assert"
 )
 
-const goodFile = `[instance]
+const validFile = `[instance]
 name = pay-1
 service = pay
 data_centre = dc-1
@@ -31,8 +31,8 @@
 authority = ca.pem
 `
 
-func TestParseGoodFile(t *testing.T) {
-	n, err := Parse("node.ini", []byte(goodFile))
+func TestParseValidFile(t *testing.T) {
+	n, err := Parse("node.ini", []byte(validFile))
 	assert.NilError(t, err)
 	assert.Equal(t, n.Slots, 18)
 	assert.Equal(t, n.DrainTimeout, 30*time.Second)
@@ -40,8 +40,8 @@
 	assert.Equal(t, n.Seeds[1].Name, "pay-3")
 }
 
-func TestLaterOverridesWin(t *testing.T) {
-	n, err := Parse("node.ini", []byte(goodFile), Overrides{"upstream.slots": "3", "log.level": "warn"}, Overrides{"upstream.slots": "4"})
+func TestLaterOverridesTakePrecedence(t *testing.T) {
+	n, err := Parse("node.ini", []byte(validFile), Overrides{"upstream.slots": "3", "log.level": "warn"}, Overrides{"upstream.slots": "4"})
 	assert.NilError(t, err)
 	assert.Equal(t, n.Slots, 4)
 	assert.Equal(t, n.LogLevel, "warn")
@@ -49,19 +49,19 @@
 
 func TestEnvironmentOverrides(t *testing.T) {
 	t.Setenv("WALLDRIFT_UPSTREAM_SLOTS", "7")
-	n, err := Parse("node.ini", []byte(goodFile), Environment())
+	n, err := Parse("node.ini", []byte(validFile), Environment())
 	assert.NilError(t, err)
 	assert.Equal(t, n.Slots, 7)
 }
 
-// All findings come together, each with its place.
-func TestFindingsComeTogether(t *testing.T) {
-	raw := strings.NewReplacer("slots = 18", "slots = many\ncolour = red", "service = pay", "", "127.0.0.1:7000", "here").Replace(goodFile)
+// Parse reports all findings together, each with its line and key.
+func TestParseReportsAllFindings(t *testing.T) {
+	raw := strings.NewReplacer("slots = 18", "slots = many\ncolour = red", "service = pay", "", "127.0.0.1:7000", "here").Replace(validFile)
 	_, err := Parse("node.ini", []byte(raw), Overrides{"log.loudness": "11", "requests.retry_ratio": "NaN"})
-	var fs Findings
-	assert.Assert(t, errors.As(err, &fs))
+	var findings Findings
+	assert.Assert(t, errors.As(err, &findings))
 	var got []string
-	for _, f := range fs {
+	for _, f := range findings {
 		got = append(got, f.String())
 	}
 	assert.DeepEqual(t, got, []string{
@@ -77,13 +77,14 @@
 func TestReferencePageNamesEverySetting(t *testing.T) {
 	page, err := os.ReadFile("../../docs/SETTINGS.md")
 	assert.NilError(t, err)
-	onPage(t, string(page), Fields())
+	assertOnPage(t, string(page), Fields())
 	_, sidecars, ok := strings.Cut(string(page), "## Settings of a sidecar")
 	assert.Assert(t, ok)
-	onPage(t, sidecars, SidecarFields())
+	assertOnPage(t, sidecars, SidecarFields())
 }
 
-func onPage[T any](t *testing.T, page string, fields []Field[T]) {
+// assertOnPage checks that the page has the name, unit and description of each field.
+func assertOnPage[T any](t *testing.T, page string, fields []Field[T]) {
 	t.Helper()
 	for _, f := range fields {
 		assert.Assert(t, strings.Contains(page, "| `"+f.Section+"."+f.Key+"` | "+f.Unit+" |"), "docs/SETTINGS.md lacks %s.%s", f.Section, f.Key)
@@ -91,8 +92,8 @@
 	}
 }
 
-// The template of the deploy file is a whole and valid settings file once its
-// placeholders are filled in.
+// The template in deploy/sidecar.ini is a valid settings file once its placeholders are
+// filled in, and an invalid one before.
 func TestDeployTemplate(t *testing.T) {
 	raw, err := os.ReadFile("../../deploy/sidecar.ini")
 	assert.NilError(t, err)
@@ -119,7 +120,7 @@
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(goodFile))
+	f.Add([]byte(validFile))
 	f.Add([]byte("[a\nb=\n%(x)s"))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		n, err := Parse("node.ini", raw)
