--- a/internal/quarantine/config.go
+++ b/internal/quarantine/config.go
@@ -2,41 +2,42 @@
 
 import "time"
 
-// Config holds the settings of a Book.
+// Config holds the parameters of a Tracker.
 type Config struct {
-	// HoldAfter is the number of falls, with no answer since, from which on a request is
-	// held back. Fewer saves upstreams, more holds back fewer innocent requests: those
-	// that were cut with the cause are tried again with it, and fall with it twice.
-	// Default 2.
+	// HoldAfter is the number of crashes, without an answer since, from which a request
+	// is quarantined. A lower number saves upstreams, a higher one quarantines fewer
+	// harmless requests: those that were running beside the crashing request are retried
+	// together with it and so are running at two crashes. Default 2.
 	HoldAfter int
-	// Probes are the times after the last fall or probe at which a request is let
-	// through once more, by the number of its falls from HoldAfter on. After the last
-	// one it waits until it is released or was not seen for Memory. Longer spares
-	// upstreams, shorter clears innocent requests sooner. Default 5 s, 30 s, 2 min: an
-	// innocent request that comes again is free soon, and the cause ends three more
-	// upstreams at most.
+	// Probes are the times after the last crash or probe at which a quarantined request
+	// may run once more, indexed by the number of its crashes above HoldAfter. After the
+	// last probe it stays quarantined until it is released or hasn't been attempted for
+	// Memory. Longer times save upstreams, shorter ones release harmless requests sooner.
+	// Default 5 s, 30 s, 2 min: a harmless request that is retried is released soon, and
+	// a crashing one crashes at most three more upstreams.
 	Probes []time.Duration
-	// AnsweredFor is how long an answer also clears falls that come after it. A request
+	// AnsweredFor is how long an answer also clears crashes that follow it. A request
 	// that many callers send is running at every upstream at any time, and was answered a
-	// moment ago: without it such a one was held back when two upstreams fell at once.
-	// Longer clears those that come more seldom; one that ran well and now ends upstreams
-	// is noticed so much later. Default 1 s.
+	// moment ago; without this rule such a request was quarantined when two upstreams
+	// crashed at the same time. A longer time also covers requests that are sent less
+	// often, but delays the detection of a request that used to run well and now crashes
+	// upstreams by the same time. Default 1 s.
 	AnsweredFor time.Duration
-	// Memory is how long a request is remembered after its last attempt. Longer
-	// recognises one that comes seldom. Default 1 h.
+	// Memory is how long a request with crashes is remembered after its last attempt. A
+	// longer time recognises requests that are sent less often. Default 1 h.
 	Memory time.Duration
-	// ClearedMemory is how long a request is remembered of which nothing is held against
-	// it any more, so that other nodes hear of that. Default 1 min.
+	// ClearedMemory is how long a request without remaining crashes is remembered, so
+	// that other nodes learn that it was cleared. Default 1 min.
 	ClearedMemory time.Duration
-	// MaxRecords bounds the requests remembered, some 700 bytes each; those that are
-	// not held back and were not seen for longest are forgotten first. Default 2,048:
-	// the requests of some fifty falls.
+	// MaxRecords bounds the records, of some 700 bytes each. Those with the fewest
+	// crashes, and of these the ones not seen for longest, are removed first. Default
+	// 2,048: the requests of some fifty crashes.
 	MaxRecords int
-	// Seed differs from node to node, so that they do not try a request at once.
+	// Seed differs between nodes, so that they don't probe a request at the same time.
 	Seed uint64
 }
 
-// DefaultConfig returns the defaults given at the fields.
+// DefaultConfig returns the default values documented at the fields.
 func DefaultConfig() Config {
 	return Config{
 		HoldAfter:     2,
--- a/internal/quarantine/doc.go
+++ b/internal/quarantine/doc.go
@@ -1,16 +1,16 @@
-// Package quarantine finds the requests that end the upstreams which run them, and
-// keeps them from the others.
+// Package quarantine detects requests that crash the upstreams running them, and keeps
+// them from being dispatched to further ones.
 //
-// An upstream that ends takes all requests with it that it is running, and one of them
-// may be the cause. Which one shows with the next fall: a request that was running at
-// several, and was not answered by any upstream in between, is held back. The load
-// pattern: one caller's request comes again and again, at any node, and each upstream
-// that runs it is gone for some seconds. Without this package the request goes on to
-// those that are well until the whole service is gone.
+// When an upstream crashes, all requests that it was running end with it, and one of them
+// may be the cause. The next crash shows which one: a request that was running at several
+// crashes, and was not answered by any upstream in between, is quarantined. Without this,
+// a request that callers retry at any node takes down one upstream after the other for
+// some seconds each, until the whole service is unavailable.
 //
-// Book is the memory of one node and decides; it is pure: time is passed in. Nodes tell
-// each other their records, which merge in any order to the same result. The
-// invariants: a request that was never running at a fall is never held back, an answer
-// of an upstream clears all falls of that service that are known then, and a request
-// that is held back is tried again by one node at a time, a few times in all.
+// Tracker holds the records of one node and makes the decisions. It is pure: time is
+// passed in. Nodes exchange their records, and merging them in any order gives the same
+// result. The invariants are: a request that was not running at a crash is never
+// quarantined; an answer of an upstream clears all crashes of the request at that service
+// that are known at the time; a quarantined request is probed by one node at a time and
+// only a few times in total.
 package quarantine
--- a/internal/quarantine/fingerprint.go
+++ b/internal/quarantine/fingerprint.go
@@ -9,29 +9,29 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Fingerprint is the same for all attempts of one request, whichever node they come to:
-// it is made of what the caller asks for and not of an attempt's id or time. 0 stands
-// for a request that has none.
+// Fingerprint identifies a request across its attempts and nodes: it is a hash of what
+// the caller requests, without the ID and the time of the attempt. 0 means no
+// fingerprint.
 type Fingerprint uint64
 
-// RequestInfo is what a caller asks for, but for the body.
+// RequestInfo is what a caller requests, without the body.
 type RequestInfo struct {
 	Method string
 	Host   string
-	Target string // path and query as the caller wrote them
+	Target string // path and query as sent by the caller
 	Tenant string
 }
 
-// Request is what makes two attempts the same request.
+// Request holds the parts that make two attempts the same request.
 type Request struct {
 	RequestInfo
 	Body []byte
-	// Length stands for a body that is not read before the request is passed on; 0 if
-	// Body has it, negative if the length is not known.
+	// Length stands in for a body that is not read before the request is forwarded; 0 if
+	// Body holds it, negative if the length is unknown.
 	Length int64
 }
 
-// Fingerprint returns the fingerprint of the request.
+// Fingerprint returns the fingerprint of the request. It is never 0.
 func (r Request) Fingerprint() Fingerprint {
 	sum := xxhash.New()
 	for _, part := range [...]string{r.Method, r.Host, r.Target, r.Tenant} {
@@ -43,7 +43,7 @@
 	return Fingerprint(max(sum.Sum64(), 1))
 }
 
-// String returns the fingerprint as 16 hexadecimal digits, empty for none.
+// String returns the fingerprint as 16 hexadecimal digits, or an empty string for 0.
 func (f Fingerprint) String() string {
 	if f == 0 {
 		return ""
@@ -51,7 +51,7 @@
 	return hex.EncodeToString(binary.BigEndian.AppendUint64(nil, uint64(f)))
 }
 
-// ParseFingerprint reads what String wrote.
+// ParseFingerprint parses the format of String.
 func ParseFingerprint(s string) (Fingerprint, error) {
 	if s == "" {
 		return 0, nil
--- a/internal/quarantine/merge.go
+++ b/internal/quarantine/merge.go
@@ -9,53 +9,54 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Record is what one node tells another of a request at a service.
+// Record is the record of a request at a service as sent to other nodes.
 type Record struct {
 	_ struct{} `cbor:",toarray"`
 
 	Request Fingerprint
 	Service string
-	Falls   []uint64 // at which it was running, with no answer since
-	Cleared []uint64 // that an answer has cleared
+	Falls   []uint64 // crashes at which it was running, without an answer since
+	Cleared []uint64 // crashes cleared by an answer
 	Good    bool     // an upstream of the service has answered it
-	// LastMs and SeenMs are the times since its last fall or probe and its last attempt,
-	// in milliseconds: clocks of nodes differ, the way is short.
+	// LastMs and SeenMs are the times since its last crash or probe and since its last
+	// attempt, in milliseconds. They are relative because clocks of nodes differ; the
+	// network time is short.
 	LastMs, SeenMs int64
 }
 
-// Records returns all that is remembered, in a fixed order.
-func (b *Tracker) Records(now time.Time) []Record {
+// Records returns all records in a fixed order.
+func (t *Tracker) Records(now time.Time) []Record {
 	var out []Record
-	for r, services := range b.records {
+	for r, services := range t.records {
 		for service := range services {
-			out = append(out, b.tell(now, key{r, service}))
+			out = append(out, t.export(now, key{r, service}))
 		}
 	}
 	sortRecords(out)
 	return out
 }
 
-// Changes returns the records that have changed here since they were last asked for.
-func (b *Tracker) Changes(now time.Time) []Record {
-	out := make([]Record, 0, len(b.changed))
-	for k := range b.changed {
-		out = append(out, b.tell(now, k))
+// Changes returns the records that have changed here since the last call.
+func (t *Tracker) Changes(now time.Time) []Record {
+	out := make([]Record, 0, len(t.changed))
+	for k := range t.changed {
+		out = append(out, t.export(now, k))
 	}
-	clear(b.changed)
+	clear(t.changed)
 	sortRecords(out)
 	return out
 }
 
-func (b *Tracker) tell(now time.Time, k key) Record {
-	rec := b.records[k.request][k.service]
+func (t *Tracker) export(now time.Time, k key) Record {
+	rec := t.records[k.request][k.service]
 	return Record{
 		Request: k.request,
 		Service: k.service,
-		Falls:   slices.Clone(rec.falls),
+		Falls:   slices.Clone(rec.crashes),
 		Cleared: slices.Clone(rec.cleared),
-		Good:    rec.good,
-		LastMs:  now.Sub(rec.last).Milliseconds(),
-		SeenMs:  now.Sub(rec.seen).Milliseconds(),
+		Good:    rec.answered,
+		LastMs:  now.Sub(rec.lastRun).Milliseconds(),
+		SeenMs:  now.Sub(rec.lastSeen).Milliseconds(),
 	}
 }
 
@@ -69,39 +70,40 @@
 	return cmp.Or(cmp.Compare(x.request, y.request), cmp.Compare(x.service, y.service))
 }
 
-// Merge takes over what another node remembers.
-func (b *Tracker) Merge(now time.Time, told []Record) {
-	for _, t := range told {
-		if t.Request != 0 && t.SeenMs >= 0 && t.LastMs >= 0 && t.SeenMs < b.memory(t.Falls).Milliseconds() {
-			b.mergeOne(now, t)
+// Merge merges records received from another node.
+func (t *Tracker) Merge(now time.Time, received []Record) {
+	for _, in := range received {
+		if in.Request != 0 && in.SeenMs >= 0 && in.LastMs >= 0 && in.SeenMs < t.retention(in.Falls).Milliseconds() {
+			t.mergeRecord(now, in)
 		}
 	}
-	b.makeRoom(now)
+	t.evict(now)
 }
 
-func (b *Tracker) mergeOne(now time.Time, t Record) {
-	seen := now.Add(-time.Duration(t.SeenMs) * time.Millisecond)
-	k := key{t.Request, t.Service}
-	rec := b.record(seen, k)
-	rec.clear(t.Cleared...)
-	fell := false
-	for _, id := range t.Falls {
-		fell = rec.add(id) || fell
+func (t *Tracker) mergeRecord(now time.Time, in Record) {
+	seen := now.Add(-time.Duration(in.SeenMs) * time.Millisecond)
+	k := key{in.Request, in.Service}
+	rec := t.record(seen, k)
+	rec.clear(in.Cleared...)
+	added := false
+	for _, id := range in.Falls {
+		added = rec.addCrash(id) || added
 	}
-	if fell {
-		b.clearIfAnswered(now, k)
+	if added {
+		t.clearIfAnswered(now, k)
 	}
-	rec.good = rec.good || t.Good
-	if len(rec.falls) == 0 {
-		rec.since = time.Time{}
+	rec.answered = rec.answered || in.Good
+	if len(rec.crashes) == 0 {
+		rec.quarantinedAt = time.Time{}
 	}
-	rec.last = latest(rec.last, now.Add(-time.Duration(t.LastMs)*time.Millisecond))
+	rec.lastRun = latest(rec.lastRun, now.Add(-time.Duration(in.LastMs)*time.Millisecond))
 }
 
-// Digest is the same for two books that remember the same falls and answers.
-func (b *Tracker) Digest() uint64 {
+// Digest returns a hash of the records' crashes and answers. It is the same for two
+// trackers with the same ones.
+func (t *Tracker) Digest() uint64 {
 	var sum uint64
-	for r, services := range b.records {
+	for r, services := range t.records {
 		for service, rec := range services {
 			sum ^= rec.digest(key{r, service})
 		}
@@ -113,21 +115,21 @@
 	sum := xxhash.New()
 	_, _ = sum.WriteString(k.service)
 	text := binary.BigEndian.AppendUint64(nil, uint64(k.request))
-	for _, ids := range [][]uint64{r.falls, r.cleared} {
+	for _, ids := range [][]uint64{r.crashes, r.cleared} {
 		ids = slices.Sorted(slices.Values(ids))
 		text = append(text, byte(len(ids)))
 		for _, id := range ids {
 			text = binary.BigEndian.AppendUint64(text, id)
 		}
 	}
-	if r.good {
+	if r.answered {
 		text = append(text, 1)
 	}
 	_, _ = sum.Write(text)
 	return sum.Sum64()
 }
 
-// mix spreads the bits of a number.
-func mix(n uint64) uint64 {
+// hash64 returns a hash of a number.
+func hash64(n uint64) uint64 {
 	return xxhash.Sum64(binary.BigEndian.AppendUint64(nil, n))
 }
--- a/internal/quarantine/operators.go
+++ b/internal/quarantine/operators.go
@@ -5,29 +5,29 @@
 	"time"
 )
 
-// QuarantinedRequest is a request that is held back, for operators.
+// QuarantinedRequest describes a quarantined request to operators.
 type QuarantinedRequest struct {
 	Request    Fingerprint
 	Service    string
 	Crashes    int
-	HeldFor    time.Duration // that it has been held back here
-	RetryAfter time.Duration // until it is tried again here; 0 if that is due
-	Refused    int64         // attempts, here
+	HeldFor    time.Duration // since its first refusal at this node
+	RetryAfter time.Duration // until the next probe at this node; 0 if it is due
+	Refused    int64         // number of refused attempts at this node
 	About      RequestInfo
 }
 
-// Quarantined lists the requests that are held back, by fingerprint.
-func (b *Tracker) Quarantined(now time.Time) []QuarantinedRequest {
+// Quarantined returns the quarantined requests, sorted by fingerprint and service.
+func (t *Tracker) Quarantined(now time.Time) []QuarantinedRequest {
 	var out []QuarantinedRequest
-	for r, services := range b.records {
+	for r, services := range t.records {
 		for service, rec := range services {
-			v := b.judge(now, r, service)
+			v := t.evaluate(now, r, service)
 			if !v.Held && !v.Probe {
 				continue
 			}
-			h := QuarantinedRequest{Request: r, Service: service, Crashes: v.Crashes, Refused: rec.refused, About: rec.about, RetryAfter: v.After}
-			if !rec.since.IsZero() {
-				h.HeldFor = now.Sub(rec.since)
+			h := QuarantinedRequest{Request: r, Service: service, Crashes: v.Crashes, Refused: rec.refused, About: rec.info, RetryAfter: v.After}
+			if !rec.quarantinedAt.IsZero() {
+				h.HeldFor = now.Sub(rec.quarantinedAt)
 			}
 			out = append(out, h)
 		}
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -6,15 +6,15 @@
 )
 
 const (
-	// maxFalls bounds the falls remembered of one request at one service: more than it
-	// takes to hold it back for good.
-	maxFalls = 8
-	// maxCleared bounds those that an answer has cleared. One that is forgotten counts
-	// again where a node tells of it late.
+	// maxCrashes bounds the crashes kept of one request at one service. It exceeds the
+	// number from which the request is quarantined without further probes.
+	maxCrashes = 8
+	// maxCleared bounds the cleared crashes that are kept. A crash that was dropped from
+	// them counts again if a node reports it late.
 	maxCleared = 64
 )
 
-// key names a record.
+// key identifies a record.
 type key struct {
 	request Fingerprint
 	service string
@@ -22,32 +22,32 @@
 
 // record is what is known of a request at one service.
 type record struct {
-	falls   []uint64 // at which it was running, with no answer since
-	cleared []uint64 // that an answer has cleared
-	good    bool     // an upstream of the service has answered it
-	last    time.Time
-	seen    time.Time
-	since   time.Time // when it was first held back here
-	refused int64
-	about   RequestInfo
+	crashes       []uint64 // crashes at which it was running, without an answer since
+	cleared       []uint64 // crashes cleared by an answer
+	answered      bool     // an upstream of the service has answered it, or it was released
+	lastRun       time.Time
+	lastSeen      time.Time
+	quarantinedAt time.Time // first refusal of its quarantine at this node
+	refused       int64
+	info          RequestInfo
 }
 
-// add adds a fall that is not known yet. Of too many the least IDs are kept, so that all
-// nodes keep the same.
-func (r *record) add(id uint64) bool {
-	at, known := slices.BinarySearch(r.falls, id)
-	if known || at == maxFalls || slices.Contains(r.cleared, id) {
+// addCrash adds a crash and reports whether it was unknown. If there are too many, those
+// with the lowest IDs are kept, so that all nodes keep the same ones.
+func (r *record) addCrash(id uint64) bool {
+	at, known := slices.BinarySearch(r.crashes, id)
+	if known || at == maxCrashes || slices.Contains(r.cleared, id) {
 		return false
 	}
-	r.falls = slices.Insert(r.falls, at, id)
-	r.falls = r.falls[:min(len(r.falls), maxFalls)]
+	r.crashes = slices.Insert(r.crashes, at, id)
+	r.crashes = r.crashes[:min(len(r.crashes), maxCrashes)]
 	return true
 }
 
-// clear takes falls for no fault of the request.
+// clear marks crashes as not caused by the request.
 func (r *record) clear(ids ...uint64) {
 	for _, id := range ids {
-		r.falls = slices.DeleteFunc(r.falls, func(fall uint64) bool { return fall == id })
+		r.crashes = slices.DeleteFunc(r.crashes, func(crash uint64) bool { return crash == id })
 		if !slices.Contains(r.cleared, id) {
 			r.cleared = append(r.cleared, id)
 		}
