--- a/internal/sidecar/admin.go
+++ b/internal/sidecar/admin.go
@@ -22,15 +22,16 @@
 	"github.com/walldrift/walldrift/internal/table"
 )
 
-// headerStatus marks a request between sidecars as one for the status.
+// headerStatus marks a request between sidecars as a status request.
 const headerStatus = "Walldrift-Status"
 
-// surveyTimeout is how long a sidecar may take to tell its status: some hundred times
-// what it needs.
-const surveyTimeout = time.Second
+// statusQueryTimeout bounds the status request to one sidecar, which needs about a
+// hundredth of that.
+const statusQueryTimeout = time.Second
 
-// maxStatus bounds an encoded status: some hundred times the usual one.
-const maxStatus = 64 << 10
+// maxStatusBytes bounds an encoded status, which usually has about a hundredth of that
+// size.
+const maxStatusBytes = 64 << 10
 
 // adminHandler serves operators on the metrics address.
 func (s *Sidecar) adminHandler() http.Handler {
@@ -39,12 +40,12 @@
 	mux.HandleFunc(admin.PathReady, s.getReady)
 	mux.Handle(admin.PathMetrics, s.metrics.Handler())
 	mux.HandleFunc(admin.PathSelf, func(w http.ResponseWriter, _ *http.Request) { s.writeJSON(w, s.status(clock.Now())) })
-	mux.HandleFunc(admin.PathFleet, func(w http.ResponseWriter, r *http.Request) { s.writeJSON(w, s.survey(r.Context())) })
+	mux.HandleFunc(admin.PathFleet, func(w http.ResponseWriter, r *http.Request) { s.writeJSON(w, s.fleetStatus(r.Context())) })
 	mux.HandleFunc(admin.PathTable, s.getTable)
 	mux.HandleFunc("GET "+admin.PathQuarantine, func(w http.ResponseWriter, _ *http.Request) {
-		s.writeJSON(w, admin.Quarantined(s.held.list(clock.Now())))
+		s.writeJSON(w, admin.Quarantined(s.quarantined.requests(clock.Now())))
 	})
-	mux.HandleFunc(admin.PathQuotas, func(w http.ResponseWriter, _ *http.Request) { s.writeJSON(w, s.quotas.list(clock.Now())) })
+	mux.HandleFunc(admin.PathQuotas, func(w http.ResponseWriter, _ *http.Request) { s.writeJSON(w, s.quotas.report(clock.Now())) })
 	mux.HandleFunc("POST "+admin.PathRelease+"{fingerprint}", s.release)
 	mux.HandleFunc(admin.PathExplain+"{service}", s.getExplain)
 	mux.HandleFunc(admin.PathProfile+"profile", pprof.Profile)
@@ -66,10 +67,10 @@
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_, _ = w.Write(raw) // an operator who has left asks again
+	_, _ = w.Write(raw) // an operator whose connection broke repeats the request
 }
 
-// getTable answers with the table in force as operators know it, whatever form
+// getTable responds with the table in force in the operators' CSV format, whatever format
 // it was published in, with the discovered upstreams as rows.
 func (s *Sidecar) getTable(w http.ResponseWriter, _ *http.Request) {
 	snap := s.holder.Current()
@@ -95,35 +96,36 @@
 	s.writeJSON(w, admin.Explain(all))
 }
 
-// release lets a request through again that is held back.
+// release lifts the quarantine of a request.
 func (s *Sidecar) release(w http.ResponseWriter, r *http.Request) {
-	f, err := quarantine.ParseFingerprint(r.PathValue("fingerprint"))
+	fp, err := quarantine.ParseFingerprint(r.PathValue("fingerprint"))
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	if !s.held.release(r.Context(), f) {
+	if !s.quarantined.release(r.Context(), fp) {
 		http.Error(w, "no such request is held back", http.StatusNotFound)
 	}
 }
 
-// status tells operators which version this sidecar holds, and why.
+// status returns the status of this sidecar: the table version in force, where it came
+// from, and what restricts the own upstream.
 func (s *Sidecar) status(now time.Time) distribution.NodeStatus {
-	f := s.follower.Status(now)
+	followerStatus := s.follower.Status(now)
 	st := distribution.NodeStatus{
 		Name:       s.cfg.Name,
 		DataCentre: s.cfg.DataCentre,
 		Table:      s.holder.ID(),
-		HeldFor:    uint64(f.TableAge.Milliseconds()),
-		From:       f.TableFrom,
-		Reader:     f.Reader,
-		SourceAge:  uint64(f.Staleness.Milliseconds()),
-		Links:      len(f.Sources),
-		Refused:    unusable(f.Unusable),
+		HeldFor:    uint64(followerStatus.TableAge.Milliseconds()),
+		From:       followerStatus.TableFrom,
+		Reader:     followerStatus.Reader,
+		SourceAge:  uint64(followerStatus.Staleness.Milliseconds()),
+		Links:      len(followerStatus.Sources),
+		Refused:    formatInvalidEntries(followerStatus.Unusable),
 		Upstream:   s.backend.Restriction(),
-		HeldBack:   len(s.held.list(now)),
+		HeldBack:   len(s.quarantined.requests(now)),
 	}
-	for _, e := range f.Evacuated {
+	for _, e := range followerStatus.Evacuated {
 		st.Evacuated = append(st.Evacuated, distribution.EvacuatedCentre{DataCentre: e.DataCentre, Since: uint64(now.Sub(e.FirstSeen).Milliseconds())})
 	}
 	if st.Table.IsZero() {
@@ -132,39 +134,41 @@
 	return st
 }
 
-// unusableTold is the number of unusable entries that a status tells in full.
-const unusableTold = 3
+// maxListedEntries is the number of invalid entries that a status describes.
+const maxListedEntries = 3
 
-// unusable tells operators which published entries name no upstream, and why.
-func unusable(entries []discovery.Removal) string {
+// formatInvalidEntries describes the published entries from which no upstream can be read,
+// with the reasons.
+func formatInvalidEntries(entries []discovery.Removal) string {
 	if len(entries) == 0 {
 		return ""
 	}
-	told := make([]string, 0, unusableTold)
-	for _, e := range entries[:min(len(entries), unusableTold)] {
-		told = append(told, e.ID+" ("+e.InvalidReason+")")
+	listed := make([]string, 0, maxListedEntries)
+	for _, e := range entries[:min(len(entries), maxListedEntries)] {
+		listed = append(listed, e.ID+" ("+e.InvalidReason+")")
 	}
-	return fmt.Sprintf("%d entries: %s", len(entries), strings.Join(told, ", "))
+	return fmt.Sprintf("%d entries: %s", len(entries), strings.Join(listed, ", "))
 }
 
-// tellStatus answers another sidecar's survey.
-func (s *Sidecar) tellStatus(w http.ResponseWriter) {
+// serveStatus responds to the status request of another sidecar.
+func (s *Sidecar) serveStatus(w http.ResponseWriter) {
 	if err := peerhttp.Answer(w, s.status(clock.Now())); err != nil {
 		s.log.Error("status not told", "err", err)
 	}
 }
 
-// survey asks every sidecar that is known for its status.
-func (s *Sidecar) survey(ctx context.Context) []distribution.NodeStatus {
+// fleetStatus returns the status of every known sidecar, sorted by name.
+func (s *Sidecar) fleetStatus(ctx context.Context) []distribution.NodeStatus {
 	members := s.follower.Members()
 	out := make([]distribution.NodeStatus, len(members))
-	askAll(members, func(i int, m membership.Member) { out[i] = s.askStatus(ctx, m) })
+	forEachConcurrently(members, func(i int, m membership.Member) { out[i] = s.peerStatus(ctx, m) })
 	slices.SortFunc(out, func(a, b distribution.NodeStatus) int { return strings.Compare(a.Name, b.Name) })
 	return out
 }
 
-// askStatus returns a sidecar's status, or one that says that it did not answer.
-func (s *Sidecar) askStatus(ctx context.Context, m membership.Member) distribution.NodeStatus {
+// peerStatus returns the status of another sidecar. If that does not respond, the status
+// holds the error in Waiting.
+func (s *Sidecar) peerStatus(ctx context.Context, m membership.Member) distribution.NodeStatus {
 	st, err := s.fetchStatus(ctx, m)
 	if err != nil {
 		return distribution.NodeStatus{Name: "beside " + m.Name, DataCentre: m.DataCentre, Waiting: err.Error()}
@@ -173,8 +177,8 @@
 }
 
 func (s *Sidecar) fetchStatus(ctx context.Context, m membership.Member) (st distribution.NodeStatus, err error) {
-	ctx, cancel := context.WithTimeout(ctx, surveyTimeout)
+	ctx, cancel := context.WithTimeout(ctx, statusQueryTimeout)
 	defer cancel()
-	err = peerhttp.Ask(ctx, s.hop, m.Peer, headerStatus, nil, &st, maxStatus)
+	err = peerhttp.Ask(ctx, s.peerClient, m.Peer, headerStatus, nil, &st, maxStatusBytes)
 	return st, errors.Wrap(err, "no answer")
 }
--- a/internal/sidecar/admin_test.go
+++ b/internal/sidecar/admin_test.go
@@ -13,7 +13,7 @@
 	"github.com/walldrift/walldrift/internal/table"
 )
 
-// get returns a page of the admin address of sidecar i.
+// get returns the response body of a path at the admin address of sidecar i.
 func (f *fleet) get(i int, path string) []byte {
 	f.t.Helper()
 	l := f.sidecars[i].servers.listeners
@@ -26,12 +26,11 @@
 	return raw
 }
 
-// Operators see the fleet, the table and the choice from any sidecar, as from a
-// node.
+// Any sidecar shows operators the fleet, the table and the routing state.
 func TestAdminAddress(t *testing.T) {
 	f := startFleet(t, 3, 0)
 	f.publish(2)
-	for f.holding(2) < 3 {
+	for f.countHolding(2) < 3 {
 		f.get(0, admin.PathReady)
 	}
 	var rows []struct{ Name, Table, Waiting string }
@@ -50,29 +49,29 @@
 	f.stops[1]()
 	assert.NilError(t, <-f.done[1])
 	assert.NilError(t, json.Unmarshal(f.get(0, admin.PathFleet), &rows))
-	silent := 0
+	unresponsive := 0
 	for _, r := range rows {
 		if r.Waiting != "" {
-			silent++
+			unresponsive++
 		}
 	}
-	assert.Equal(t, silent, 1, "one sidecar is gone")
+	assert.Equal(t, unresponsive, 1, "one sidecar is gone")
 }
 
-// Operators see which published entries name no upstream, and why, from any
-// sidecar.
-func TestStatusTellsUnusableEntries(t *testing.T) {
+// Any sidecar shows operators the published entries from which no upstream can be read,
+// with the reasons.
+func TestStatusShowsInvalidEntries(t *testing.T) {
 	f := startFleet(t, 2, 0)
 	f.store.change(func(u *discovery.Update) {
 		u.Removed = append(u.Removed, discovery.Removal{ID: "i-x", Revision: u.Revision, InvalidReason: "Slots: of another type"})
 	})
-	for told := 0; told < 2; {
+	for shown := 0; shown < 2; {
 		var rows []struct{ Refused string }
 		assert.NilError(t, json.Unmarshal(f.get(0, admin.PathFleet), &rows))
-		told = 0
+		shown = 0
 		for _, r := range rows {
 			if r.Refused == "1 entries: i-x (Slots: of another type)" {
-				told++
+				shown++
 			}
 		}
 	}
--- a/internal/sidecar/build.go
+++ b/internal/sidecar/build.go
@@ -21,107 +21,112 @@
 
 // Sizes and limits of the request path.
 const (
-	// expectFrom is the length of a body from which a peer is asked for
-	// admission before the body is sent, so that refused uploads cost nothing.
-	expectFrom = 8 << 10
-	// wholeAnswers is the longest answer read to its end before it is passed
-	// on; the usual ones have a few KB.
-	wholeAnswers = 64 << 10
-	// dialTimeout bounds a new connection inside the fleet: some 200 round trips
-	// between data centres, and short enough to go elsewhere in time.
+	// expectContinueAbove is the body length in bytes from which a request to a peer waits
+	// for its admission (Expect: 100-continue) before the body is sent, so that refused
+	// uploads cost no bandwidth.
+	expectContinueAbove = 8 << 10
+	// responseBufferLimit is the longest response, in bytes, that is buffered before it is
+	// forwarded. Usual responses have a few KB.
+	responseBufferLimit = 64 << 10
+	// dialTimeout bounds the dialling of a peer: about 200 round trips between data
+	// centres, and short enough to leave time for another peer.
 	dialTimeout = 300 * time.Millisecond
-	// newsDialTimeout bounds a new connection to a source of news: one packet lost
-	// is sent again after a second. It stays under discovery.Config.NewsTimeout.
-	newsDialTimeout = 1500 * time.Millisecond
-	// maxIdleCallers bounds the idle connections of callers, a few for each
-	// caller of a machine.
-	maxIdleCallers = 256
-	// peerNotice is how long before it refuses work a leaving node tells its
-	// peers with each answer: a few answers to each of them.
-	peerNotice = 500 * time.Millisecond
-	// bufferShare is the part of the memory limit that kept bodies may take, as a
-	// divisor.
-	bufferShare = 4
-	// drainMemory is routing.Config.DrainMemory. A process that drains is back
-	// within a second or two, beside the same upstream; upstreams that leave are
-	// told by the store.
-	drainMemory = time.Second
-	// freeTries is retry.Policy.FreeTries: one more node is asked.
+	// peerUpdateDialTimeout bounds the dialling of an update source. It allows for one
+	// lost packet, which is retransmitted after a second, and stays below
+	// discovery.Config.PeerTimeout.
+	peerUpdateDialTimeout = 1500 * time.Millisecond
+	// maxIdleCallerConns bounds the idle connections of callers: a few for each caller on
+	// the machine.
+	maxIdleCallerConns = 256
+	// peerNoticePeriod is how long before a leaving node refuses requests its responses
+	// announce that to its peers: enough for a few responses to each peer.
+	peerNoticePeriod = 500 * time.Millisecond
+	// bufferMemoryDivisor is the memory limit divided by the memory for buffered bodies.
+	bufferMemoryDivisor = 4
+	// drainReportLifetime is routing.Config.DrainReportLifetime. A sidecar that drains to
+	// restart serves the same upstream again within one or two seconds, and the store
+	// reports upstreams that leave.
+	drainReportLifetime = time.Second
+	// freeTries is retry.Policy.FreeTries: one more try may end at a node before it
+	// reaches an upstream.
 	freeTries = 1
-	// handOverShare is the number of slots for which one request more is handed
-	// over, to wait in the upstream's own queue: it takes the slot that comes
-	// free without the way to this process and back. Trials on two deployments:
-	// worth of loaded days up by 0 to 0.04.
-	handOverShare = 6
-	// receivers is proxy.BackendConfig.Receivers: two bodies keep a link full, the
-	// others cover the round trips in which one waits for its sender. Each queues
-	// up to a window of 64 KB, 50 ms on a link of 10 Mbit/s.
-	receivers = 4
-	// peerWriteBuffer is http1.Config.WriteBuffer towards other nodes, in bytes:
-	// with three long answers at once 51 ms of a link of 15 Mbit/s. Hand-overs
-	// that ended without an answer: 2,583 before, 1,421 after on a day of 61
-	// machines with such links (one play each).
+	// slotsPerExtraRequest is the number of slots for which one request more than the
+	// slots is sent to the upstream, to wait in its own queue: it takes the next free slot
+	// without the round trip to this process. Under load this raised the value of the
+	// answered requests by 0 to 0.04.
+	slotsPerExtraRequest = 6
+	// maxReceives is proxy.BackendConfig.MaxReceives. Two bodies saturate a link, the
+	// others cover the round trips during which one waits for its sender. Each queues up
+	// to a window of 64 KB, which takes 50 ms on a link of 10 Mbit/s.
+	maxReceives = 4
+	// peerWriteBuffer is http1.Config.WriteBuffer for connections of other nodes, in
+	// bytes. Three long responses at once queue 51 ms on a link of 15 Mbit/s. On such
+	// links the limit reduced the forwarded requests that ended without a response from
+	// 2,583 to 1,421 a day in a fleet of 61 machines.
 	peerWriteBuffer = 32 << 10
-	// senders is proxy.BackendConfig.Senders, as receivers for what is sent.
-	senders = 3
-	// answerLimit is the longest answer kept for its turn on the link, in bytes.
-	answerLimit = 1 << 20
-	// queueFactor is the number of requests that may wait per slot.
-	queueFactor = 2
+	// maxSends is proxy.BackendConfig.MaxSends, chosen like maxReceives.
+	maxSends = 3
+	// sendBufferLimit is the longest response, in bytes, that is buffered while it waits
+	// for the link.
+	sendBufferLimit = 1 << 20
+	// queuedPerSlot is the number of requests that may wait for each slot.
+	queuedPerSlot = 2
 )
 
-// newsClient returns the settings of the connections for questions to the sources
-// of news. They are kept apart from those of requests, which take all that are
-// there, and have time for a lost first packet: behind a full link a new one takes
-// longer than a request may wait. Of six questions that failed on a day of 61
-// machines five had no connection within dialTimeout (one play).
-func newsClient() http1.ClientConfig {
+// peerUpdateClientConfig returns the settings of the client for peer requests. Its
+// connections are separate from those of forwarded requests, which use up all that are
+// open. Its dial timeout allows for a lost first packet, as dialling over a saturated link
+// takes longer than a request may wait: of six failed peer requests five had no connection
+// within dialTimeout.
+func peerUpdateClientConfig() http1.ClientConfig {
 	c := http1.DefaultClientConfig()
-	c.DialTimeout = newsDialTimeout
+	c.DialTimeout = peerUpdateDialTimeout
 	return c
 }
 
+// build creates the parts of the sidecar and connects them.
 func (s *Sidecar) build() {
-	requests := proxy.NewMetrics(s.metrics.Scope)
+	requestMetrics := proxy.NewMetrics(s.metrics.Scope)
 	toUpstream := http1.DefaultClientConfig()
 	toUpstream.DialTimeout = dialTimeout
-	// The upstream is on this machine and loses power with it. One that reads a long
-	// body late is no dead peer: bodies of 1 MB broke off after 2.5 s of a reader's pause.
+	// The upstream runs on this machine and loses power with it, so missing
+	// acknowledgements are no sign of a dead peer. With a timeout, bodies of 1 MB broke
+	// off when the upstream paused reading for 2.5 s.
 	toUpstream.UnackedTimeout = 0
 	toUpstream.MatchesRequest = s.platform.Dialect.MatchesRequest
 	s.upstream = http1.NewClient(toUpstream)
 	toPeers := http1.DefaultClientConfig()
-	toPeers.ExpectContinueAbove, toPeers.DialTimeout = expectFrom, dialTimeout
-	s.hop = http1.NewClient(toPeers)
-	s.news = http1.NewClient(newsClient())
+	toPeers.ExpectContinueAbove, toPeers.DialTimeout = expectContinueAbove, dialTimeout
+	s.peerClient = http1.NewClient(toPeers)
+	s.peerUpdateClient = http1.NewClient(peerUpdateClientConfig())
 	s.follower = s.newFollower()
-	s.held = newHeldRequests(s)
+	s.quarantined = newSharedQuarantine(s)
 	s.quotas = newCustomerQuotas(s)
 	s.backend = proxy.NewBackend(proxy.BackendConfig{
 		Upstream:            upstreamURL(s.cfg.Upstream),
 		Slots:               s.cfg.Slots,
-		QueueLimit:          queueFactor * s.cfg.Slots,
+		QueueLimit:          queuedPerSlot * s.cfg.Slots,
 		Ledger:              ledger.DefaultConfig(),
 		Dialect:             s.platform.Dialect,
 		Transport:           s.upstream,
-		OnConnect:           func(ok bool) { s.guard.reached(ok) },
-		RefusesConnections:  func() bool { return refuses(s.cfg.Upstream.String()) },
-		OnCrash:             s.fell,
-		Quarantine:          s.held,
-		ResponseBufferLimit: wholeAnswers,
-		MaxReceives:         receivers,
+		OnConnect:           func(ok bool) { s.guard.onConnect(ok) },
+		RefusesConnections:  func() bool { return connectionRefused(s.cfg.Upstream.String()) },
+		OnCrash:             s.upstreamCrashed,
+		Quarantine:          s.quarantined,
+		ResponseBufferLimit: responseBufferLimit,
+		MaxReceives:         maxReceives,
 		MaxReceivedBody:     int64(s.cfg.BufferLimit),
-		MaxSends:            senders,
-		SendBufferLimit:     answerLimit,
-		SendBufferTotal:     int64(s.cfg.MemoryLimit) << 20 / bufferShare,
-	}, s.holder, nil, requests, clock.Now())
+		MaxSends:            maxSends,
+		SendBufferLimit:     sendBufferLimit,
+		SendBufferTotal:     int64(s.cfg.MemoryLimit) << 20 / bufferMemoryDivisor,
+	}, s.holder, nil, requestMetrics, clock.Now())
 
 	s.guard = newColdGuard(s)
 
 	policy := retry.DefaultPolicy()
 	policy.Ratio, policy.Reserve, policy.FreeTries = s.cfg.RetryRatio, float64(s.cfg.RetryReserve), freeTries
-	choice := routing.DefaultConfig()
-	choice.ByExpectedTime, choice.ColdFromMembers, choice.DrainReportLifetime = true, true, drainMemory
+	routingConfig := routing.DefaultConfig()
+	routingConfig.ByExpectedTime, routingConfig.ColdFromMembers, routingConfig.DrainReportLifetime = true, true, drainReportLifetime
 	s.frontend = proxy.NewFrontend(proxy.FrontendConfig{
 		Self: membership.Instance{
 			Name:       s.cfg.Name,
@@ -129,65 +134,65 @@
 			DataCentre: s.cfg.DataCentre,
 			Region:     s.cfg.Region,
 		},
-		Routing:             choice,
+		Routing:             routingConfig,
 		Retry:               policy,
 		Seed:                uint64(clock.Now().UnixNano()),
 		MaxInFlight:         s.cfg.MaxInFlight,
 		Dialect:             s.platform.Dialect,
 		BufferLimit:         int64(s.cfg.BufferLimit),
-		BufferTotal:         int64(s.cfg.MemoryLimit) << 20 / bufferShare,
-		ResponseBufferLimit: wholeAnswers,
-		ShutdownBufferLimit: answerLimit,
-		ShutdownBufferTotal: int64(s.cfg.MemoryLimit) << 20 / bufferShare,
+		BufferTotal:         int64(s.cfg.MemoryLimit) << 20 / bufferMemoryDivisor,
+		ResponseBufferLimit: responseBufferLimit,
+		ShutdownBufferLimit: sendBufferLimit,
+		ShutdownBufferTotal: int64(s.cfg.MemoryLimit) << 20 / bufferMemoryDivisor,
 		IgnoreKeys:          true,
-		Record:              newRecorder(s.log).record,
+		Record:              newRequestLog(s.log).record,
 		CallerService:       func() string { return *s.service.Load() },
 		Staleness:           s.follower.Staleness,
 		TableAge:            s.follower.TableAge,
-		Quarantine:          s.held,
+		Quarantine:          s.quarantined,
 		Quota:               s.quotas,
 		BodyLimit:           func() int64 { return s.follower.Limits().BodyBytes },
-	}, s.holder, s.follower.Member, proxy.NewHTTP1Dispatcher(s.hop, s.cfg.Upstream.Addr(), s.backend), requests, func() bool { return true })
+	}, s.holder, s.follower.Member, proxy.NewHTTP1Dispatcher(s.peerClient, s.cfg.Upstream.Addr(), s.backend), requestMetrics, func() bool { return true })
 }
 
 func (s *Sidecar) newFollower() *discovery.Follower {
 	source := s.platform.Source(s.cfg.Store.String())
-	return discovery.NewFollower(s.cfg.Discovery(), source, discovery.PeerClient{Transport: s.news}, s.holder, s.log, s.directoryChanged)
+	return discovery.NewFollower(s.cfg.Discovery(), source, discovery.PeerClient{Transport: s.peerUpdateClient}, s.holder, s.log, s.directoryChanged)
 }
 
-// peerHandler serves other sidecars: their requests and their questions for
-// news and status.
+// peerHandler serves other sidecars: forwarded requests, peer requests, quarantine
+// messages, borrow requests and status requests.
 func (s *Sidecar) peerHandler() http.Handler {
-	news, requests := discovery.PeerUpdateHandler(s.follower), proxy.NewPeerHandler(s.backend)
-	held, quotas := http.HandlerFunc(s.held.answer), http.HandlerFunc(s.quotas.answer)
+	updates, forwarded := discovery.PeerUpdateHandler(s.follower), proxy.NewPeerHandler(s.backend)
+	quarantine, quotas := http.HandlerFunc(s.quarantined.serve), http.HandlerFunc(s.quotas.serve)
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		switch {
 		case r.Header.Get(discovery.HeaderPeerUpdate) != "":
-			news.ServeHTTP(w, r)
+			updates.ServeHTTP(w, r)
 		case r.Header.Get(headerQuarantine) != "":
-			held.ServeHTTP(w, r)
+			quarantine.ServeHTTP(w, r)
 		case r.Header.Get(headerQuota) != "":
 			quotas.ServeHTTP(w, r)
 		case r.Header.Get(headerStatus) != "":
-			s.tellStatus(w)
+			s.serveStatus(w)
 		default:
-			requests.ServeHTTP(w, r)
+			forwarded.ServeHTTP(w, r)
 		}
 	})
 }
 
-// bind opens the sockets.
+// bind opens the listening sockets.
 func (s *Sidecar) bind() error {
 	s.servers.callers = http1.NewServer(http1.Config{
 		Handler:   s.frontend,
 		Limits:    s.callerLimits,
-		MaxIdle:   maxIdleCallers,
-		OnConnEnd: newEnds(s.log, s.metrics.Scope, "callers", s.state).ended,
+		MaxIdle:   maxIdleCallerConns,
+		OnConnEnd: newConnEndRecorder(s.log, s.metrics.Scope, "callers", s.state).record,
 	})
 	s.servers.peers = http1.NewServer(http1.Config{
 		Handler:     s.peerHandler(),
 		WriteBuffer: peerWriteBuffer,
-		OnConnEnd:   newEnds(s.log, s.metrics.Scope, "nodes", s.state).ended,
+		OnConnEnd:   newConnEndRecorder(s.log, s.metrics.Scope, "nodes", s.state).record,
 	})
 	s.servers.ready = http1.NewServer(http1.Config{Handler: s.readyHandler()})
 	s.servers.metrics = http1.NewServer(http1.Config{Handler: s.adminHandler()})
@@ -205,7 +210,8 @@
 	return nil
 }
 
-// callerLimits are the published limits, with defaults for what is not set.
+// callerLimits returns the published limits, with defaults for those that are not
+// published.
 func (s *Sidecar) callerLimits() http1.Limits {
 	l := http1.DefaultLimits()
 	published := s.follower.Limits()
--- a/internal/sidecar/caller_left_test.go
+++ b/internal/sidecar/caller_disconnected_test.go
@@ -12,9 +12,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// sendAndLeave sends a request and the end of its connection in one packet, as a process
-// that stood still finds them.
-func sendAndLeave(t *testing.T, addr, request string) {
+// sendAndClose sends a request and closes the connection in one packet, so that the node
+// finds both at once, as it does after a process pause.
+func sendAndClose(t *testing.T, addr, request string) {
 	t.Helper()
 	nc, err := net.Dial("tcp", addr)
 	assert.NilError(t, err)
@@ -29,16 +29,16 @@
 	assert.NilError(t, nc.Close())
 }
 
-// A request whose caller had left when it was read reaches no upstream, neither that of
-// the node that read it nor another one's.
-func TestRequestOfACallerThatLeftIsNotHandedOn(t *testing.T) {
+// A request whose caller had disconnected before it was read reaches no upstream, neither
+// that of the node that read it nor another one.
+func TestRequestOfADisconnectedCallerIsNotForwarded(t *testing.T) {
 	const requests = 200
 	f := startFleet(t, 2, 0)
 	var ids []string
 	for i := range requests {
 		id := fmt.Sprintf("left-%d", i)
 		ids = append(ids, id)
-		sendAndLeave(t, f.callers(0), strings.Join([]string{
+		sendAndClose(t, f.callers(0), strings.Join([]string{
 			"POST /write/x HTTP/1.1", "Host: shop.example", "Content-Length: 4",
 			testDialect.RequestID + ": " + id, testDialect.Deadline + ": 1000", "", "body",
 		}, "\r\n"))
--- a/internal/sidecar/cold.go
+++ b/internal/sidecar/cold.go
@@ -2,42 +2,42 @@
 
 import "time"
 
-// coldCause says why the own upstream counts as cold.
+// coldCause is the reason why the own upstream counts as cold.
 type coldCause string
 
-// The causes. All but the first rest on what may be, so the upstream is asked.
+// The causes. With all but coldPublished the upstream may be warm, so it is probed.
 const (
-	coldPublished coldCause = "published"
-	coldNodeStart coldCause = "this node has started beside it"
-	coldReopened  coldCause = "its data centre was evacuated"
-	coldReturned  coldCause = "it takes connections again"
+	coldPublished       coldCause = "published"
+	coldNodeStart       coldCause = "this node has started beside it"
+	coldAfterEvacuation coldCause = "its data centre was evacuated"
+	coldAfterReconnect  coldCause = "it takes connections again"
 )
 
-// ownCold decides until when the own upstream counts as cold. It is pure: time is
-// passed in. An upstream that may be cold counts as such until it is known to be warm:
-// it falls over if it gets what a warm one bears.
-type ownCold struct {
-	from  time.Time // of the last cause
-	until time.Time
+// coldPeriod determines until when the own upstream counts as cold. It is pure: the caller
+// passes the time in. An upstream that may be cold counts as cold until it is known to be
+// warm, because a cold upstream crashes under the load of a warm one.
+type coldPeriod struct {
+	causeAt time.Time // of the last cause
+	until   time.Time
 }
 
-// begin takes a cause over that holds between two times, and reports whether it is a
-// new one.
-func (c *ownCold) begin(from, until time.Time) bool {
-	if !from.After(c.from) {
+// start applies a cause that holds from one time until another. It reports whether the
+// cause is later than the last one.
+func (c *coldPeriod) start(from, until time.Time) bool {
+	if !from.After(c.causeAt) {
 		return false
 	}
-	c.from = from
+	c.causeAt = from
 	if until.After(c.until) {
 		c.until = until
 	}
 	return true
 }
 
-// told takes over for how long the upstream stays cold by its own word, given at the
-// earliest when it was asked. A cause that came later stands.
-func (c *ownCold) told(asked, now time.Time, left time.Duration) {
-	if !asked.Before(c.from) {
-		c.until = now.Add(left)
+// applyReport applies the upstream's own report, in response to a probe sent at probedAt,
+// of how long it stays cold. A cause later than the probe remains in effect.
+func (c *coldPeriod) applyReport(probedAt, now time.Time, remaining time.Duration) {
+	if !probedAt.Before(c.causeAt) {
+		c.until = now.Add(remaining)
 	}
 }
--- a/internal/sidecar/cold_guard.go
+++ b/internal/sidecar/cold_guard.go
@@ -17,193 +17,196 @@
 	"github.com/walldrift/walldrift/internal/proxy"
 )
 
-// coldGuard keeps the backend from sending the own upstream more than it bears while it
-// is cold: it follows what is published of it, whether it can be reached, and its own
-// word.
+// coldGuard limits the rate of requests to the own upstream while that is cold. It goes by
+// what is published about the upstream, by whether it can be connected to, and by its own
+// reports.
 type coldGuard struct {
-	address  string // of the upstream, with the scheme
-	dialect  proxy.Dialect
-	upstream *http1.Client
-	follower *discovery.Follower
-	backend  *proxy.Backend
-	service  func() string
-	log      *log.Logger
-	began    time.Time // when this process started
-
-	unasked atomic.Int64 // requests sent since the upstream was asked last
-	asked   atomic.Bool  // it is asked now
-	lost    atomic.Bool  // no connection to it could be made last
-
-	ctx  context.Context // of the questions
+	address   string // of the upstream, with the scheme
+	dialect   proxy.Dialect
+	upstream  *http1.Client
+	follower  *discovery.Follower
+	backend   *proxy.Backend
+	service   func() string
+	log       *log.Logger
+	startedAt time.Time // when this process started
+
+	sentSinceProbe atomic.Int64 // requests sent to the upstream since the last probe began
+	probing        atomic.Bool  // a probe of probeAsync is in progress
+	unreachable    atomic.Bool  // the last connection attempt failed
+
+	ctx  context.Context // of the probes
 	stop context.CancelFunc
 
-	mu   sync.Mutex // guards what follows
-	cold ownCold
+	mu     sync.Mutex // guards the fields below
+	period coldPeriod
 }
 
 // newColdGuard returns the guard of a sidecar whose other parts are built.
 func newColdGuard(s *Sidecar) *coldGuard {
 	g := &coldGuard{
-		address:  upstreamURL(s.cfg.Upstream).String(),
-		dialect:  s.platform.Dialect,
-		upstream: s.upstream,
-		follower: s.follower,
-		backend:  s.backend,
-		service:  func() string { return *s.service.Load() },
-		log:      s.log,
-		began:    clock.Now(),
+		address:   upstreamURL(s.cfg.Upstream).String(),
+		dialect:   s.platform.Dialect,
+		upstream:  s.upstream,
+		follower:  s.follower,
+		backend:   s.backend,
+		service:   func() string { return *s.service.Load() },
+		log:       s.log,
+		startedAt: clock.Now(),
 	}
 	g.ctx, g.stop = context.WithCancel(context.Background())
 	return g
 }
 
-// follow takes over what is published of the own upstream. The follower's lock is held.
-func (g *coldGuard) follow(own discovery.KnownUpstream) {
-	terms := g.follower.ColdStart(own.Service)
-	g.backend.SetColdRate(terms.Rate)
-	if terms.Rate <= 0 {
+// applyPublished applies what is published about the own upstream. The caller holds the
+// follower's lock.
+func (g *coldGuard) applyPublished(own discovery.KnownUpstream) {
+	coldStart := g.follower.ColdStart(own.Service)
+	g.backend.SetColdRate(coldStart.Rate)
+	if coldStart.Rate <= 0 {
 		return
 	}
-	g.begin(coldNodeStart, g.began, g.began.Add(terms.Duration))
+	g.startCold(coldNodeStart, g.startedAt, g.startedAt.Add(coldStart.Duration))
 	if own.ColdFrom.IsZero() {
 		return
 	}
 	cause := coldPublished
 	if own.ColdFor == 0 {
-		cause = coldReopened
+		cause = coldAfterEvacuation
 	}
-	g.begin(cause, own.ColdFrom, own.ColdUntil)
+	g.startCold(cause, own.ColdFrom, own.ColdUntil)
 }
 
-// begin bounds the work of the own upstream from now on, and asks it whether that is
-// needed where it did not say so itself.
-func (g *coldGuard) begin(cause coldCause, from, until time.Time) {
+// startCold applies a cause and limits the requests to the own upstream from now on. It
+// probes the upstream, unless the upstream's published entry is the cause.
+func (g *coldGuard) startCold(cause coldCause, from, until time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if !g.cold.begin(from, until) {
+	if !g.period.start(from, until) {
 		return
 	}
-	g.backend.SetCold(g.cold.until)
-	g.log.Info("own upstream cold", "cause", string(cause), "left", clock.Until(g.cold.until))
+	g.backend.SetCold(g.period.until)
+	g.log.Info("own upstream cold", "cause", string(cause), "left", clock.Until(g.period.until))
 	if cause != coldPublished {
-		go g.askUntilTold()
+		go g.probeWithRetries()
 	}
 }
 
-// reached takes over whether a connection to the own upstream could be made for a
-// request. One that could not be and then could may be another process, or the same one
-// cold.
-func (g *coldGuard) reached(ok bool) {
+// onConnect handles the result of connecting to the own upstream for a request. An
+// upstream that can be connected to again after a failure may be a new process, or the
+// same process that is cold now.
+func (g *coldGuard) onConnect(ok bool) {
 	if !ok {
-		g.lost.Store(true)
+		g.unreachable.Store(true)
 		return
 	}
-	terms := g.follower.ColdStart(g.service())
-	if terms.Rate <= 0 {
+	coldStart := g.follower.ColdStart(g.service())
+	if coldStart.Rate <= 0 {
 		return
 	}
-	if g.lost.Load() && g.lost.Swap(false) {
+	if g.unreachable.Load() && g.unreachable.Swap(false) {
 		now := clock.Now()
-		g.begin(coldReturned, now, now.Add(terms.Duration))
+		g.startCold(coldAfterReconnect, now, now.Add(coldStart.Duration))
 	}
-	if g.unasked.Add(1) >= int64(terms.Rate) {
-		g.askNow()
+	if g.sentSinceProbe.Add(1) >= int64(coldStart.Rate) {
+		g.probeAsync()
 	}
 }
 
-// askNow asks the own upstream, unless it is asked already.
+// probeAsync probes the own upstream in the background, unless a probe is in progress.
 //
-// An upstream may turn cold at any moment, and its entry tells one or two seconds late.
-// So it is asked after each second's worth of what it bears when cold: then it has got
-// that and what is sent until it answers before this node knows, and the pace counts
-// these requests. Without it 61 to 75 requests in a second reached upstreams that turned
-// cold unseen and bore 10, with it at most 10 in three seeds of the soak. Each question
-// takes a slot for some milliseconds.
-func (g *coldGuard) askNow() {
-	if g.asked.Swap(true) {
+// An upstream may turn cold at any time, and its entry in the store shows it one or two
+// seconds late. It is therefore probed each time it has received as many requests as it
+// can serve in a second when cold. Before this node knows, a cold upstream receives at
+// most that number and the requests sent until it responds, and the rate limit counts
+// these requests. Without such probes 61 to 75 requests a second reached upstreams that
+// had turned cold and could serve 10, with them at most 10. Each probe occupies a slot for
+// some milliseconds.
+func (g *coldGuard) probeAsync() {
+	if g.probing.Swap(true) {
 		return
 	}
 	go func() {
-		defer g.asked.Store(false)
-		g.unasked.Store(0)
-		_ = g.ask() // where it does not say, it is asked again soon
+		defer g.probing.Store(false)
+		g.sentSinceProbe.Store(0)
+		_ = g.probe() // a failed probe is repeated soon
 	}()
 }
 
-// Bounds of a question to the own upstream.
+// Limits of the probes of the own upstream.
 const (
-	// askTimeout is how long an answer is waited for: it takes a slot as any request
-	// does, so up to a few run times under load.
-	askTimeout = 500 * time.Millisecond
-	// askPause lies between two questions where the first was not answered.
-	askPause = 300 * time.Millisecond
-	// askTries bounds them: each takes a slot for some milliseconds, and the time for
-	// which it can be cold is soon over.
-	askTries = 3
+	// probeTimeout bounds a probe. A probe takes a slot as any request does, so under load
+	// its response takes up to a few run times.
+	probeTimeout = 500 * time.Millisecond
+	// probeRetryDelay is the delay after a failed probe.
+	probeRetryDelay = 300 * time.Millisecond
+	// maxProbes bounds the number of probes: each occupies a slot for some milliseconds,
+	// and the time during which the upstream can be cold is soon over.
+	maxProbes = 3
 )
 
-// askUntilTold asks the own upstream for how long it stays cold, a few times if it does
-// not say.
-func (g *coldGuard) askUntilTold() {
+// probeWithRetries probes the own upstream, up to maxProbes times, until it reports for
+// how long it stays cold.
+func (g *coldGuard) probeWithRetries() {
 	for try := 1; ; try++ {
-		err := g.ask()
+		err := g.probe()
 		if err == nil {
 			return
 		}
-		if try == askTries || g.ctx.Err() != nil {
+		if try == maxProbes || g.ctx.Err() != nil {
 			g.log.Info("own upstream does not say whether it is cold", "err", err)
 			return
 		}
 		select {
 		case <-g.ctx.Done():
-		case <-time.After(askPause):
+		case <-time.After(probeRetryDelay):
 		}
 	}
 }
 
-// ask asks the own upstream once, and takes over what it says.
-func (g *coldGuard) ask() error {
-	asked := clock.Now()
-	left, err := g.fetch()
+// probe probes the own upstream once and applies its report.
+func (g *coldGuard) probe() error {
+	probedAt := clock.Now()
+	remaining, err := g.fetchColdRemaining()
 	if err == nil {
-		g.told(asked, left)
+		g.applyReport(probedAt, remaining)
 	}
 	return err
 }
 
-func (g *coldGuard) told(asked time.Time, left time.Duration) {
+// applyReport applies a report of the upstream and logs whether it turned cold or warm.
+func (g *coldGuard) applyReport(probedAt time.Time, remaining time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := clock.Now()
-	before := now.Before(g.cold.until)
-	g.cold.told(asked, now, left)
-	g.backend.SetCold(g.cold.until)
-	if cold := now.Before(g.cold.until); cold != before {
-		g.log.Info("own upstream told whether it is cold", "cold", cold, "left", left)
+	wasCold := now.Before(g.period.until)
+	g.period.applyReport(probedAt, now, remaining)
+	g.backend.SetCold(g.period.until)
+	if cold := now.Before(g.period.until); cold != wasCold {
+		g.log.Info("own upstream told whether it is cold", "cold", cold, "left", remaining)
 	}
 }
 
-// errColdNotTold reports an answer that does not say for how long an upstream stays
+// errNoColdReport reports a response that does not say for how long the upstream stays
 // cold.
-var errColdNotTold = errors.New("the answer does not tell")
+var errNoColdReport = errors.New("response does not report the remaining cold time")
 
-func (g *coldGuard) fetch() (time.Duration, error) {
-	ctx, cancel := context.WithTimeout(g.ctx, askTimeout)
+func (g *coldGuard) fetchColdRemaining() (time.Duration, error) {
+	ctx, cancel := context.WithTimeout(g.ctx, probeTimeout)
 	defer cancel()
 	path := g.follower.ColdStart(g.service()).HealthPath
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, g.address+path, nil)
 	if err != nil {
-		return 0, errors.Wrap(err, "ask the own upstream")
+		return 0, errors.Wrap(err, "probe own upstream")
 	}
 	resp, err := g.upstream.RoundTrip(req)
 	if err != nil {
-		return 0, errors.Wrap(err, "ask the own upstream")
+		return 0, errors.Wrap(err, "probe own upstream")
 	}
 	defer func() { _ = resp.Body.Close() }()
-	_, _ = io.Copy(io.Discard, resp.Body) // so that its connection can be used again
-	left, ok := g.dialect.ColdRemaining(resp.Header)
+	_, _ = io.Copy(io.Discard, resp.Body) // so that the connection can be reused
+	remaining, ok := g.dialect.ColdRemaining(resp.Header)
 	if !ok {
-		return 0, errors.Wrap(errColdNotTold, resp.Status)
+		return 0, errors.Wrap(errNoColdReport, resp.Status)
 	}
-	return left, nil
+	return remaining, nil
 }
--- a/internal/sidecar/cold_test.go
+++ b/internal/sidecar/cold_test.go
@@ -15,28 +15,28 @@
 	"github.com/walldrift/walldrift/internal/discovery"
 )
 
-// coldRate is what the upstreams of these tests bear while they are cold, and coldTime
-// how long they are.
+// coldRate is the number of requests a second that the upstreams of these tests can serve
+// while they are cold, and coldTime how long they are cold.
 const (
 	coldRate = 5
 	coldTime = 3 * time.Second
 )
 
-// arrivals notes when requests reached an upstream and answers what it is asked of
-// itself.
-type arrivals struct {
-	mu    sync.Mutex
-	at    []time.Time
-	cold  time.Time // the upstream is cold until then, by its word
-	asked int
+// upstreamMonitor records when requests reached an upstream, and responds to the probes of
+// the upstream's node.
+type upstreamMonitor struct {
+	mu     sync.Mutex
+	at     []time.Time
+	cold   time.Time // the upstream reports that it is cold until then
+	probes int
 }
 
-func (a *arrivals) watch(u *upstream) {
+func (a *upstreamMonitor) attach(u *upstream) {
 	inner := u.server.Handler
 	u.server.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		a.mu.Lock()
 		if r.URL.Path == "/healthy" {
-			a.asked++
+			a.probes++
 			w.Header().Set(testDialect.Instance, u.id)
 			if time.Now().Before(a.cold) {
 				w.Header().Set(testDialect.Cold, strconv.FormatInt(time.Until(a.cold).Milliseconds(), 10))
@@ -50,15 +50,16 @@
 	})
 }
 
-// turnCold makes the upstream say that it is cold from now on.
-func (a *arrivals) turnCold() {
+// becomeCold makes the upstream report that it is cold from now on.
+func (a *upstreamMonitor) becomeCold() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.cold = time.Now().Add(coldTime)
 }
 
-// most returns the most arrivals in any second since a time, and how many there were.
-func (a *arrivals) most(since time.Time) (inSecond, all int) {
+// countSince returns the highest number of requests in any second since a time, and the
+// number of all requests since then.
+func (a *upstreamMonitor) countSince(since time.Time) (perSecond, all int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	var at []time.Time
@@ -75,19 +76,19 @@
 				n++
 			}
 		}
-		inSecond = max(inSecond, n)
+		perSecond = max(perSecond, n)
 	}
-	return inSecond, len(at)
+	return perSecond, len(at)
 }
 
-// coldFleet is a fleet whose upstreams tell of themselves.
-func coldFleet(t *testing.T, n int) (*fleet, []*arrivals) {
+// startColdFleet starts a fleet whose upstreams report whether they are cold.
+func startColdFleet(t *testing.T, n int) (*fleet, []*upstreamMonitor) {
 	t.Helper()
 	f := startFleet(t, n, 0)
-	seen := make([]*arrivals, n)
-	for i := range seen {
-		seen[i] = &arrivals{}
-		seen[i].watch(f.upstreams[i])
+	monitors := make([]*upstreamMonitor, n)
+	for i := range monitors {
+		monitors[i] = &upstreamMonitor{}
+		monitors[i].attach(f.upstreams[i])
 	}
 	f.store.change(func(u *discovery.Update) {
 		u.Document = document(2)
@@ -97,15 +98,15 @@
 		for s.follower.ColdStart("shop").Rate == 0 {
 			time.Sleep(time.Millisecond)
 		}
-		for s.backend.Restriction() != "" { // each asked its upstream, which is warm
+		for s.backend.Restriction() != "" { // until each has probed its upstream, which is warm
 			time.Sleep(time.Millisecond)
 		}
 	}
-	return f, seen
+	return f, monitors
 }
 
-// press sends requests to all nodes, several at once, for a time.
-func (f *fleet) press(d time.Duration) (served, refused int) {
+// sendLoad sends requests to all nodes, several at once, for a duration.
+func (f *fleet) sendLoad(d time.Duration) (served, refused int) {
 	var mu sync.Mutex
 	var group sync.WaitGroup
 	until := time.Now().Add(d)
@@ -132,11 +133,12 @@
 	return served, refused
 }
 
-// An upstream that is published as cold gets no more than it bears in any second, from
-// all nodes together, though the others are pressed; when it is warm it gets its part.
-func TestColdUpstreamGetsWhatItBears(t *testing.T) {
-	f, seen := coldFleet(t, 3)
-	seen[0].turnCold()
+// An upstream that is published as cold gets at most coldRate requests in any second, from
+// all nodes together, although the other upstreams are under load. When it is warm it gets
+// its share.
+func TestColdUpstreamIsRateLimited(t *testing.T) {
+	f, monitors := startColdFleet(t, 3)
+	monitors[0].becomeCold()
 	began := time.Now()
 	f.store.change(func(u *discovery.Update) {
 		u.Upstreams[0].ColdFor, u.Upstreams[0].Revision = coldTime, u.Revision
@@ -147,24 +149,24 @@
 		}
 	}
 	assert.Assert(t, cmp.Contains(string(f.get(0, admin.PathFleet)), `"upstream":"cold for`))
-	served, refused := f.press(2 * time.Second)
-	inSecond, all := seen[0].most(began)
-	assert.Assert(t, inSecond <= coldRate, "%d in a second", inSecond)
-	assert.Assert(t, all > 0, "it bears some")
+	served, refused := f.sendLoad(2 * time.Second)
+	perSecond, all := monitors[0].countSince(began)
+	assert.Assert(t, perSecond <= coldRate, "%d in a second", perSecond)
+	assert.Assert(t, all > 0, "the cold upstream got no requests")
 	assert.Assert(t, refused == 0, "%d refused and %d served, though two upstreams are warm", refused, served)
 	time.Sleep(time.Until(began.Add(coldTime + 600*time.Millisecond)))
 	warm := time.Now()
-	f.press(time.Second)
-	_, all = seen[0].most(warm)
-	assert.Assert(t, all > 2*coldRate, "%d reach it when it is warm", all)
+	f.sendLoad(time.Second)
+	_, all = monitors[0].countSince(warm)
+	assert.Assert(t, all > 2*coldRate, "%d requests reached the warm upstream", all)
 }
 
-// Where all upstreams of a service are cold, what they bear is served and the rest is
-// refused.
-func TestServiceOfColdUpstreams(t *testing.T) {
-	f, seen := coldFleet(t, 2)
-	for _, a := range seen {
-		a.turnCold()
+// If all upstreams of a service are cold, they serve coldRate requests a second each, and
+// the rest is refused.
+func TestServiceWithOnlyColdUpstreams(t *testing.T) {
+	f, monitors := startColdFleet(t, 2)
+	for _, a := range monitors {
+		a.becomeCold()
 	}
 	began := time.Now()
 	f.store.change(func(u *discovery.Update) {
@@ -177,39 +179,39 @@
 			time.Sleep(time.Millisecond)
 		}
 	}
-	served, refused := f.press(2 * time.Second)
+	served, refused := f.sendLoad(2 * time.Second)
 	assert.Assert(t, served > 0 && refused > 0, "%d served, %d refused", served, refused)
-	for _, a := range seen {
-		inSecond, _ := a.most(began)
-		assert.Assert(t, inSecond <= coldRate, "%d in a second", inSecond)
+	for _, a := range monitors {
+		perSecond, _ := a.countSince(began)
+		assert.Assert(t, perSecond <= coldRate, "%d in a second", perSecond)
 	}
 }
 
-// Upstreams may be cold when the evacuation of their data centre ends. Their nodes ask
-// them and bound what they get, or do not where they are warm.
+// Upstreams may be cold when the evacuation of their data centre ends. Their nodes probe
+// them, and limit the requests only to those that are cold.
 func TestUpstreamMayBeColdAfterAnEvacuation(t *testing.T) {
 	for name, cold := range map[string]time.Duration{"cold": coldTime, "warm": 0} {
 		t.Run(name, func(t *testing.T) {
-			f, seen := coldFleet(t, 2)
+			f, monitors := startColdFleet(t, 2)
 			f.moveUpstream(0, "b")
 			f.evacuate("b", false)
 			f.awaitEvacuated(1)
 			if cold > 0 {
-				seen[0].turnCold()
+				monitors[0].becomeCold()
 			}
-			seen[0].mu.Lock()
-			asked := seen[0].asked
-			seen[0].mu.Unlock()
+			monitors[0].mu.Lock()
+			probes := monitors[0].probes
+			monitors[0].mu.Unlock()
 			began := time.Now()
 			f.evacuate("b", true)
 			f.awaitEvacuated(0)
-			f.press(1500 * time.Millisecond)
-			inSecond, all := seen[0].most(began)
-			seen[0].mu.Lock()
-			assert.Assert(t, seen[0].asked > asked)
-			seen[0].mu.Unlock()
+			f.sendLoad(1500 * time.Millisecond)
+			perSecond, all := monitors[0].countSince(began)
+			monitors[0].mu.Lock()
+			assert.Assert(t, monitors[0].probes > probes)
+			monitors[0].mu.Unlock()
 			if cold > 0 {
-				assert.Assert(t, inSecond <= coldRate, "%d in a second", inSecond)
+				assert.Assert(t, perSecond <= coldRate, "%d in a second", perSecond)
 				return
 			}
 			assert.Assert(t, all > 2*coldRate, "%d in all", all)
@@ -217,28 +219,28 @@
 	}
 }
 
-// An upstream that turns cold without a word of its entry is asked often enough: it gets
-// a second's worth more at most.
-func TestUpstreamThatTurnsColdUnseen(t *testing.T) {
-	f, seen := coldFleet(t, 2)
-	f.press(300 * time.Millisecond)
-	seen[0].turnCold()
+// An upstream that turns cold without its store entry showing it is probed often enough:
+// it gets at most one more second's worth of requests.
+func TestUpstreamThatIsColdBeforeItIsPublished(t *testing.T) {
+	f, monitors := startColdFleet(t, 2)
+	f.sendLoad(300 * time.Millisecond)
+	monitors[0].becomeCold()
 	began := time.Now()
-	f.press(1500 * time.Millisecond)
-	inSecond, _ := seen[0].most(began)
-	assert.Assert(t, inSecond <= 2*coldRate, "%d in a second", inSecond)
+	f.sendLoad(1500 * time.Millisecond)
+	perSecond, _ := monitors[0].countSince(began)
+	assert.Assert(t, perSecond <= 2*coldRate, "%d in a second", perSecond)
 }
 
-func TestOwnColdAgainstItsWord(t *testing.T) {
+func TestColdPeriodAppliesProbeResults(t *testing.T) {
 	now := time.Unix(1000, 0)
-	var c ownCold
-	assert.Assert(t, c.begin(now, now.Add(coldTime)))
-	assert.Assert(t, !c.begin(now, now.Add(time.Hour)), "the same cause again")
-	c.told(now.Add(-time.Millisecond), now, 0)
-	assert.Equal(t, c.until, now.Add(coldTime), "told before the cause came")
-	c.told(now.Add(time.Millisecond), now.Add(2*time.Millisecond), time.Second)
+	var c coldPeriod
+	assert.Assert(t, c.start(now, now.Add(coldTime)))
+	assert.Assert(t, !c.start(now, now.Add(time.Hour)), "the same cause again must be ignored")
+	c.applyReport(now.Add(-time.Millisecond), now, 0)
+	assert.Equal(t, c.until, now.Add(coldTime), "a report from before the cause must be ignored")
+	c.applyReport(now.Add(time.Millisecond), now.Add(2*time.Millisecond), time.Second)
 	assert.Equal(t, c.until, now.Add(2*time.Millisecond+time.Second))
 	later := now.Add(time.Second)
-	assert.Assert(t, c.begin(later, later.Add(coldTime)))
+	assert.Assert(t, c.start(later, later.Add(coldTime)))
 	assert.Equal(t, c.until, later.Add(coldTime))
 }
--- a/internal/sidecar/ends_test.go
+++ b/internal/sidecar/conn_end_test.go
@@ -16,18 +16,18 @@
 	"github.com/walldrift/walldrift/internal/http1"
 )
 
-func TestEndsAreCountedAndTold(t *testing.T) {
+func TestConnectionEndsAreCountedAndLogged(t *testing.T) {
 	scope := tally.NewTestScope("", nil)
 	var out bytes.Buffer
-	e := newEnds(log.New(&out), scope, "callers", func(time.Time) nodeState {
+	e := newConnEndRecorder(log.New(&out), scope, "callers", func(time.Time) nodeState {
 		return nodeState{tableAge: 1200 * time.Millisecond, leaving: true}
 	})
-	e.ended(http1.ConnEnd{Cause: http1.EndIdle})
-	e.ended(http1.ConnEnd{Cause: http1.EndAnnounced, Unread: true})                // callers send it again
-	e.ended(http1.ConnEnd{Cause: http1.EndCallerDisconnected, Unanswered: 1})      // nobody to answer
-	e.ended(http1.ConnEnd{Cause: http1.EndHeadRejected, BytesAfterClose: 300_000}) // the rest of a refused body
+	e.record(http1.ConnEnd{Cause: http1.EndIdle})
+	e.record(http1.ConnEnd{Cause: http1.EndAnnounced, Unread: true})                // callers send it again
+	e.record(http1.ConnEnd{Cause: http1.EndCallerDisconnected, Unanswered: 1})      // no caller to respond to
+	e.record(http1.ConnEnd{Cause: http1.EndHeadRejected, BytesAfterClose: 300_000}) // the rest of a refused body
 	assert.Equal(t, out.String(), "")
-	e.ended(http1.ConnEnd{Cause: http1.EndIdle, Unread: true, DetectionDelay: 700 * time.Millisecond})
+	e.record(http1.ConnEnd{Cause: http1.EndIdle, Unread: true, DetectionDelay: 700 * time.Millisecond})
 	for _, want := range []string{"cause=idle", "unread=true", "late_ms=700", "table_age_ms=1200", "leaving=true"} {
 		assert.Assert(t, strings.Contains(out.String(), want), "%s in %s", want, out.String())
 	}
@@ -41,19 +41,20 @@
 	assert.Equal(t, counted("requests_unanswered", "caller_gone"), int64(1))
 }
 
-// A storm of ends costs a bounded number of lines, and says how many it left out.
-func TestLinesOfEndsAreBounded(t *testing.T) {
+// A burst of connection ends causes a bounded number of log lines, and the suppressed ones
+// are counted.
+func TestConnectionEndLinesAreLimited(t *testing.T) {
 	var out bytes.Buffer
-	e := newEnds(log.New(&out), tally.NoopScope, "callers", func(time.Time) nodeState { return nodeState{} })
-	for range 10 * lineBurst {
-		e.ended(http1.ConnEnd{Cause: http1.EndResponseAborted, Unanswered: 1})
+	e := newConnEndRecorder(log.New(&out), tally.NoopScope, "callers", func(time.Time) nodeState { return nodeState{} })
+	for range 10 * logLineBurst {
+		e.record(http1.ConnEnd{Cause: http1.EndResponseAborted, Unanswered: 1})
 	}
-	assert.Assert(t, strings.Count(out.String(), "\n") < 5*lineBurst)
-	assert.Assert(t, e.budget.missed.Load() > 0)
+	assert.Assert(t, strings.Count(out.String(), "\n") < 5*logLineBurst)
+	assert.Assert(t, e.limiter.suppressed.Load() > 0)
 }
 
-// The metrics address shows the ends of both listening sides.
-func TestMetricsShowEnds(t *testing.T) {
+// The metrics address shows the connection ends of both listening sides.
+func TestMetricsShowConnectionEnds(t *testing.T) {
 	f := startFleet(t, 1, 0)
 	for _, l := range f.sidecars[0].servers.listeners[:2] {
 		nc, err := net.Dial("tcp", l.Addr().String())
@@ -67,7 +68,7 @@
 	for _, side := range []string{"callers", "nodes"} {
 		want := `walldrift_connections_ended{cause="head_refused",side="` + side + `"} 1`
 		for !strings.Contains(string(f.get(0, admin.PathMetrics)), want) {
-			time.Sleep(10 * time.Millisecond) // the reporter passes counts on once a second
+			time.Sleep(10 * time.Millisecond) // the metrics reporter runs once a second
 		}
 	}
 }
--- a/internal/sidecar/drain.go
+++ b/internal/sidecar/drain.go
@@ -8,16 +8,16 @@
 	"github.com/walldrift/walldrift/internal/proxy"
 )
 
-// drain ends the work of this node without leaving a request unanswered.
+// drain shuts this node down gracefully: every request that was read gets a response.
 func (s *Sidecar) drain() {
-	l := newLeave(clock.Now(), s.cfg.DrainAnnounce, s.cfg.DrainTimeout)
+	sd := newShutdown(clock.Now(), s.cfg.DrainAnnounce, s.cfg.DrainTimeout)
 	s.leaving.Store(true)
-	s.frontend.BeginShutdown(proxy.ShutdownSchedule{Start: l.began, AnnouncedBy: l.told(), Deadline: l.end()})
-	s.backend.SetShutdownDeadline(l.end())
+	s.frontend.BeginShutdown(proxy.ShutdownSchedule{Start: sd.startedAt, AnnouncedBy: sd.announcedBy(), Deadline: sd.deadline()})
+	s.backend.SetShutdownDeadline(sd.deadline())
 	s.log.Info("leaving", "timeout", s.cfg.DrainTimeout)
-	for l.at != ended {
-		if l.next(clock.Now(), s.progress()) {
-			s.enter(l.at)
+	for sd.current != stageEnded {
+		if sd.advance(clock.Now(), s.progress()) {
+			s.enterStage(sd.current)
 			continue
 		}
 		time.Sleep(drainPoll)
@@ -28,35 +28,36 @@
 	return progress{upstream: s.backend.InFlight(), callers: s.frontend.InFlight(), conns: s.servers.callers.Conns()}
 }
 
-// enter does what a stage of leaving begins with.
-func (s *Sidecar) enter(at stage) {
-	switch at {
-	case warning:
+// enterStage performs the actions at the start of a shutdown stage.
+func (s *Sidecar) enterStage(to stage) {
+	switch to {
+	case stageWarning:
 		s.backend.SetLeaving(true)
-	case draining:
+	case stageDraining:
 		s.backend.SetDraining(true)
 		s.servers.callers.AnnounceClose()
 		s.servers.peers.AnnounceClose()
-	case refusing:
+	case stageRefusing:
 		s.frontend.RefuseAll()
-	case cutting:
+	case stageCutting:
 		s.frontend.RefuseAll()
-		s.cut()
-	case closing:
+		s.abortInProgress()
+	case stageClosing:
 		s.frontend.CancelAll()
 		s.servers.callers.Drain()
 		s.servers.peers.Drain()
-	case stopped:
+	case stageStopped:
 		s.servers.callers.StopAccepting()
 		s.servers.peers.StopAccepting()
 	}
-	s.log.Info("leaving", "stage", at, "connections", s.servers.callers.Conns())
+	s.log.Info("leaving", "stage", to, "connections", s.servers.callers.Conns())
 }
 
-// cut ends what still runs or waits; answers on their way go on until the next
-// stage. What waits here for a slot is refused: it got the slots that came free as
-// the process ended, ran and lost its answer, 15 of 60 requests in a test.
-func (s *Sidecar) cut() {
+// abortInProgress ends the requests that still run or wait. Responses in progress continue
+// until the next stage. Requests that wait here for a slot are refused, as they would get
+// the slots that become free while the process ends: 15 of 60 requests in a test ran like
+// that and lost their responses.
+func (s *Sidecar) abortInProgress() {
 	s.log.Warn("shutdown timeout cuts requests", "requests", s.backend.InFlight()+s.frontend.InFlight())
 	s.frontend.CancelUnanswered()
 	s.backend.RefuseAll(admission.ReasonDraining)
--- a/internal/sidecar/evacuation_test.go
+++ b/internal/sidecar/evacuation_test.go
@@ -15,23 +15,22 @@
 	"github.com/walldrift/walldrift/internal/routing"
 )
 
-// moveUpstream publishes an upstream in a data centre.
+// moveUpstream publishes that an upstream is in a data centre.
 func (f *fleet) moveUpstream(i int, centre string) {
 	f.store.change(func(u *discovery.Update) {
 		u.Upstreams[i].DataCentre, u.Upstreams[i].Revision = centre, u.Revision
 	})
 }
 
-// evacuate publishes that the upstreams of a data centre get nothing, or that they do
-// again.
-func (f *fleet) evacuate(centre string, over bool) {
+// evacuate publishes the evacuation of a data centre, or that it has ended.
+func (f *fleet) evacuate(centre string, ended bool) {
 	f.store.change(func(u *discovery.Update) {
 		u.HasEvacuations = true
-		u.Evacuations = []discovery.Evacuation{{DataCentre: centre, Revision: u.Revision, Ended: over}}
+		u.Evacuations = []discovery.Evacuation{{DataCentre: centre, Revision: u.Revision, Ended: ended}}
 	})
 }
 
-// awaitEvacuated waits until all sidecars know of a number of evacuated data centres.
+// awaitEvacuated waits until all sidecars know of n evacuated data centres.
 func (f *fleet) awaitEvacuated(n int) {
 	for _, s := range f.sidecars {
 		for len(s.follower.Status(time.Now()).Evacuated) != n {
@@ -40,9 +39,10 @@
 	}
 }
 
-// Upstreams of an evacuated data centre get nothing, from any node, their own among
-// them, which goes on to serve its callers; when it is over they get work again.
-func TestEvacuatedUpstreamsGetNothing(t *testing.T) {
+// Upstreams of an evacuated data centre get no requests from any node, including their
+// own, which still serves its callers. They get requests again when the evacuation has
+// ended.
+func TestEvacuatedUpstreamsGetNoRequests(t *testing.T) {
 	f := startFleet(t, 3, 0)
 	f.moveUpstream(0, "b")
 	f.evacuate("b", false)
@@ -62,7 +62,7 @@
 	}
 }
 
-// Where all data centres are evacuated, requests are refused at once as not run.
+// If all data centres are evacuated, requests are refused at once and have not run.
 func TestAllEvacuatedRefusesAtOnce(t *testing.T) {
 	f := startFleet(t, 2, 0)
 	f.evacuate("a", false)
@@ -72,37 +72,37 @@
 	assert.Equal(t, status, http.StatusServiceUnavailable)
 	assert.Assert(t, header.Get("Retry-After") != "")
 	assert.Equal(t, proxy.Outcome(header.Get(proxy.HeaderOutcome)), proxy.OutcomeNotRun)
-	assert.Assert(t, time.Since(began) < 300*time.Millisecond, "held for %v", time.Since(began))
+	assert.Assert(t, time.Since(began) < 300*time.Millisecond, "the refusal took %v", time.Since(began))
 }
 
-// What waits for a slot of an upstream whose data centre is evacuated is refused at
-// once, and answered by another one in time: it would reach the upstream after the
-// evacuation.
-func TestWaitingRequestLeavesAnEvacuatedUpstream(t *testing.T) {
+// Requests that wait for a slot of an upstream whose data centre is evacuated are refused
+// at once, in time for another upstream to answer them. Otherwise they would reach the
+// upstream after the evacuation.
+func TestEvacuationRefusesWaitingRequests(t *testing.T) {
 	f := startFleet(t, 2, 0)
-	f.waitLonger(2*time.Second, 2*time.Second)
+	f.publishTimeouts(2*time.Second, 2*time.Second)
 	f.moveUpstream(1, "b")
 	f.evacuate("b", false)
 	f.awaitEvacuated(1)
 	release := make(chan struct{})
-	f.misbehave(func(u *upstream, w http.ResponseWriter, _ *http.Request) {
+	f.setHandlers(func(u *upstream, w http.ResponseWriter, _ *http.Request) {
 		if u == f.upstreams[0] {
 			<-release
 		}
 		_, _ = io.WriteString(w, "ok")
 	})
 	const n = 20
-	ends := make(chan string, n)
+	results := make(chan string, n)
 	for range n {
 		req := f.request(0, "GET", "/read/x", "")
 		go func() {
 			resp, err := http.DefaultClient.Do(req)
 			if err != nil {
-				ends <- err.Error()
+				results <- err.Error()
 				return
 			}
 			_ = resp.Body.Close()
-			ends <- resp.Status + resp.Header.Get(proxy.HeaderReason)
+			results <- resp.Status + resp.Header.Get(proxy.HeaderReason)
 		}()
 	}
 	backend := f.sidecars[0].backend
@@ -113,13 +113,13 @@
 	f.awaitEvacuated(0)
 	assert.Assert(t, backend.Load().Waiting > 0)
 	f.evacuate("a", false)
-	assert.Equal(t, <-ends, "200 OK", "by the upstream that is not evacuated, as the other stands still")
+	assert.Equal(t, <-results, "200 OK", "expected a response of the upstream that is not evacuated, as the other one blocks")
 	assert.Equal(t, backend.Load().Waiting, 0)
 	close(release)
 }
 
-// Operators see an evacuation in the status of any sidecar, and why an upstream is left
-// out.
+// Any sidecar shows operators an evacuation in the status, and in the explanation why an
+// upstream is left out.
 func TestOperatorsSeeAnEvacuation(t *testing.T) {
 	f := startFleet(t, 2, 0)
 	f.evacuate("a", false)
--- a/internal/sidecar/faults_test.go
+++ b/internal/sidecar/faults_test.go
@@ -17,8 +17,8 @@
 	"github.com/walldrift/walldrift/internal/version"
 )
 
-// misbehave makes every upstream answer by handle.
-func (f *fleet) misbehave(handle func(u *upstream, w http.ResponseWriter, r *http.Request)) {
+// setHandlers makes every upstream respond by handle.
+func (f *fleet) setHandlers(handle func(u *upstream, w http.ResponseWriter, r *http.Request)) {
 	for _, u := range f.upstreams {
 		u.mu.Lock()
 		u.handle = func(w http.ResponseWriter, r *http.Request) { handle(u, w, r) }
@@ -26,8 +26,8 @@
 	}
 }
 
-// ran returns how often the request ran at all upstreams.
-func (f *fleet) ran(req *http.Request) int {
+// runsAnywhere returns how often the request ran at all upstreams together.
+func (f *fleet) runsAnywhere(req *http.Request) int {
 	n := 0
 	for _, u := range f.upstreams {
 		n += u.runs(req.Header.Get(testDialect.RequestID))
@@ -35,44 +35,45 @@
 	return n
 }
 
-// abort breaks the connection to the node without an answer.
-func abort(*upstream, http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
+// abortConnection closes the connection to the node without a response.
+func abortConnection(*upstream, http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 
-// What may have run is never tried again if it is not idempotent, and never
-// answered with a status that promises that it has not run.
-func TestLostAnswerOfAWrite(t *testing.T) {
+// A request that may have run is not retried unless it is idempotent, and gets no status
+// that promises that it has not run.
+func TestLostResponseOfAWrite(t *testing.T) {
 	f := startFleet(t, 3, 0)
-	f.misbehave(abort)
+	f.setHandlers(abortConnection)
 	for range 10 {
 		req := f.request(0, "POST", "/write/x", "body")
 		status, header, _ := f.send(req)
 		assert.Equal(t, status, http.StatusBadGateway)
 		assert.Equal(t, header.Get(proxy.HeaderOutcome), string(proxy.OutcomeUnknown))
 		assert.Equal(t, header.Get(testDialect.RequestID), req.Header.Get(testDialect.RequestID))
-		assert.Equal(t, f.ran(req), 1)
+		assert.Equal(t, f.runsAnywhere(req), 1)
 	}
 }
 
-// A lost or cut answer of a read is got again, within the tries of its route.
-func TestLostAnswerOfARead(t *testing.T) {
+// An idempotent request whose response is lost or truncated is retried, within the retries
+// of its route.
+func TestLostResponseOfARead(t *testing.T) {
 	for name, spoil := range map[string]func(http.ResponseWriter){
 		"lost": func(http.ResponseWriter) { panic(http.ErrAbortHandler) },
-		"cut": func(w http.ResponseWriter) {
+		"truncated": func(w http.ResponseWriter) {
 			w.Header().Set("Content-Length", "100")
 			_, _ = io.WriteString(w, "part")
 			panic(http.ErrAbortHandler)
 		},
 		"not signed": func(w http.ResponseWriter) { w.Header().Del(testDialect.Signature); _, _ = io.WriteString(w, "x") },
-		"someone else's": func(w http.ResponseWriter) {
+		"of another request": func(w http.ResponseWriter) {
 			w.Header().Set(testDialect.RequestID, "other")
-			w.Header().Set("Connection", "close") // no further answer comes
+			w.Header().Set("Connection", "close") // no further response follows
 			_, _ = io.WriteString(w, "x")
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := startFleet(t, 3, 0)
 			var first atomic.Bool
-			f.misbehave(func(u *upstream, w http.ResponseWriter, _ *http.Request) {
+			f.setHandlers(func(u *upstream, w http.ResponseWriter, _ *http.Request) {
 				if !first.Swap(true) {
 					spoil(w)
 					return
@@ -84,33 +85,33 @@
 			assert.Equal(t, status, http.StatusOK)
 			assert.Equal(t, body, "whole")
 			assert.Assert(t, header.Get(testDialect.Signature) != "")
-			assert.Equal(t, f.ran(req), 2)
+			assert.Equal(t, f.runsAnywhere(req), 2)
 		})
 	}
 }
 
-// Only the upstream's own word says that a request did not run.
+// Only the upstream's own header says that a request did not run.
 func TestRefusalsOfAnUpstream(t *testing.T) {
 	f := startFleet(t, 3, 0)
 	for _, status := range []int{http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout} {
-		f.misbehave(func(_ *upstream, w http.ResponseWriter, _ *http.Request) { w.WriteHeader(status) })
+		f.setHandlers(func(_ *upstream, w http.ResponseWriter, _ *http.Request) { w.WriteHeader(status) })
 		got, header, _ := f.send(f.request(0, "POST", "/write/x", "b"))
-		assert.Equal(t, got, http.StatusBadGateway, "%d without the word", status)
-		assert.Equal(t, header.Get(testDialect.Signature), "", "a changed failure bears no signature")
+		assert.Equal(t, got, http.StatusBadGateway, "%d without the header", status)
+		assert.Equal(t, header.Get(testDialect.Signature), "", "a replaced response must have no signature")
 	}
-	f.misbehave(func(_ *upstream, w http.ResponseWriter, _ *http.Request) {
+	f.setHandlers(func(_ *upstream, w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(http.StatusInternalServerError)
 	})
 	got, header, _ := f.send(f.request(0, "POST", "/write/x", "b"))
-	assert.Equal(t, got, http.StatusInternalServerError, "an upstream's own failure is passed on")
+	assert.Equal(t, got, http.StatusInternalServerError, "an upstream's own failure must be forwarded")
 	assert.Assert(t, header.Get(testDialect.Signature) != "")
 }
 
-// A write that an upstream says it did not run goes to another one.
+// A write that an upstream says it did not run is retried at another one.
 func TestRejectedWriteGoesElsewhere(t *testing.T) {
 	f := startFleet(t, 3, 0)
 	var first atomic.Bool
-	f.misbehave(func(_ *upstream, w http.ResponseWriter, _ *http.Request) {
+	f.setHandlers(func(_ *upstream, w http.ResponseWriter, _ *http.Request) {
 		if !first.Swap(true) {
 			w.Header().Set(testDialect.NotExecuted, "1")
 			w.WriteHeader(http.StatusServiceUnavailable)
@@ -123,10 +124,10 @@
 	assert.Equal(t, body, "ok")
 }
 
-// When all refuse, the answer says so and when to come back.
+// If all upstreams reject a request, the response says so and when to retry.
 func TestAllRefuse(t *testing.T) {
 	f := startFleet(t, 3, 0)
-	f.misbehave(func(_ *upstream, w http.ResponseWriter, _ *http.Request) {
+	f.setHandlers(func(_ *upstream, w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set(testDialect.NotExecuted, "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 	})
@@ -137,8 +138,9 @@
 	assert.Assert(t, after > 0 && after < 1)
 }
 
-// Another process at an upstream's address does not run the request, which goes
-// elsewhere. One answer for another instance is enough to leave the address out.
+// If another process listens at an upstream's address, it does not run the request, which
+// is retried elsewhere. One response of a wrong instance is enough to stop using the
+// address.
 func TestReusedAddress(t *testing.T) {
 	f := startFleet(t, 2, 0)
 	f.upstreams[0].id = "shop-later"
@@ -148,14 +150,15 @@
 		assert.Equal(t, status, http.StatusOK, body)
 		assert.Equal(t, f.upstreams[1].runs(req.Header.Get(testDialect.RequestID)), 1)
 	}
-	assert.Assert(t, f.upstreams[0].denied.Load() <= 1, "asked %d times", f.upstreams[0].denied.Load())
+	assert.Assert(t, f.upstreams[0].wrongInstance.Load() <= 1, "received %d requests", f.upstreams[0].wrongInstance.Load())
 }
 
-// A caller that leaves ends the work at the upstream, here and on other nodes.
-func TestCallerLeaves(t *testing.T) {
+// If the caller disconnects, its request is cancelled at the upstream, also if another
+// node forwards it there.
+func TestCallerDisconnects(t *testing.T) {
 	f := startFleet(t, 2, 0)
 	started, ended := make(chan struct{}), make(chan struct{})
-	f.misbehave(func(_ *upstream, _ http.ResponseWriter, r *http.Request) {
+	f.setHandlers(func(_ *upstream, _ http.ResponseWriter, r *http.Request) {
 		started <- struct{}{}
 		<-r.Context().Done()
 		ended <- struct{}{}
@@ -174,7 +177,7 @@
 	}
 }
 
-// A route's timeout answers a request whose upstream is silent.
+// A request whose upstream is unresponsive is answered when the timeout of its route ends.
 func TestRouteTimeout(t *testing.T) {
 	f := startFleet(t, 2, 0)
 	f.store.change(func(u *discovery.Update) {
@@ -188,7 +191,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	given := make(chan string, 1)
-	f.misbehave(func(_ *upstream, _ http.ResponseWriter, r *http.Request) {
+	f.setHandlers(func(_ *upstream, _ http.ResponseWriter, r *http.Request) {
 		given <- r.Header.Get(testDialect.Deadline)
 		<-r.Context().Done()
 	})
@@ -199,11 +202,11 @@
 	assert.Assert(t, ms > 0 && ms <= 50, "the upstream is given %d ms", ms)
 }
 
-// A node that leaves answers what it has read.
-func TestLeavingNodeCutsNothing(t *testing.T) {
+// A node that shuts down answers the requests that it has read.
+func TestShutdownAnswersRequestsInProgress(t *testing.T) {
 	f := startFleet(t, 2, 0)
 	started, release := make(chan struct{}, 8), make(chan struct{})
-	f.misbehave(func(_ *upstream, w http.ResponseWriter, _ *http.Request) {
+	f.setHandlers(func(_ *upstream, w http.ResponseWriter, _ *http.Request) {
 		started <- struct{}{}
 		<-release
 		_, _ = io.WriteString(w, "late")
@@ -245,7 +248,7 @@
 	}
 }
 
-// Before a table is known a node is not ready, and refuses in place of saying
+// Before a node knows a table it is not ready, and refuses requests instead of responding
 // that there is no such route.
 func TestNoTableYet(t *testing.T) {
 	f := startFleet(t, 1, 0)
@@ -258,7 +261,7 @@
 	assert.Assert(t, header.Get("Retry-After") != "")
 }
 
-// The parts of a split get their shares.
+// The services of a split route get their shares of the requests.
 func TestSplit(t *testing.T) {
 	f := startFleet(t, 2, 0)
 	f.store.change(func(u *discovery.Update) {
@@ -284,8 +287,8 @@
 	assert.Assert(t, share > n/10 && share < n*3/10, "%d of %d", share, n)
 }
 
-// A route that allows one upstream a request is never sent to a second one, also
-// where nothing ran.
+// A request of a route without retries is sent to one upstream only, even if it did not
+// run there.
 func TestRouteWithoutRetries(t *testing.T) {
 	f := startFleet(t, 3, 0)
 	f.store.change(func(u *discovery.Update) {
@@ -299,17 +302,17 @@
 		time.Sleep(time.Millisecond)
 	}
 	for name, handle := range map[string]func(*upstream, http.ResponseWriter, *http.Request){
-		"lost": abort,
+		"lost": abortConnection,
 		"rejected": func(_ *upstream, w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set(testDialect.NotExecuted, "1")
 			w.WriteHeader(http.StatusServiceUnavailable)
 		},
 	} {
-		f.misbehave(handle)
+		f.setHandlers(handle)
 		for range 5 {
 			req := f.request(0, "GET", "/read/x", "")
 			f.send(req)
-			assert.Equal(t, f.ran(req), 1, name)
+			assert.Equal(t, f.runsAnywhere(req), 1, name)
 		}
 	}
 }
@@ -317,7 +320,7 @@
 // A refusal, by an upstream or by a node, does not cost a connection.
 func TestRefusalsKeepConnections(t *testing.T) {
 	f := startFleet(t, 2, 0)
-	f.misbehave(func(_ *upstream, w http.ResponseWriter, _ *http.Request) {
+	f.setHandlers(func(_ *upstream, w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set(testDialect.NotExecuted, "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		_, _ = io.WriteString(w, "no")
@@ -326,28 +329,28 @@
 	for range n {
 		f.send(f.request(0, "GET", "/read/x", ""))
 	}
-	dialed := f.sidecars[0].hop.DialCount()
+	dialed := f.sidecars[0].peerClient.DialCount()
 	for _, s := range f.sidecars {
 		dialed += s.upstream.DialCount()
 	}
 	assert.Assert(t, dialed < n/3, "%d connections for %d requests", dialed, n)
 }
 
-// A process that restarts beside its upstream gets work again soon after it is
-// back, although the store says nothing of it.
-func TestRestartedNodeGetsWorkAgain(t *testing.T) {
+// A sidecar that restarts beside its upstream gets requests again soon afterwards,
+// although the store publishes no change.
+func TestRestartedNodeGetsRequestsAgain(t *testing.T) {
 	f := startFleet(t, 2, 0)
-	gone := f.sidecars[1]
-	gone.backend.SetLeaving(true)
+	leaving := f.sidecars[1]
+	leaving.backend.SetLeaving(true)
 	served := func() int {
 		f.upstreams[1].mu.Lock()
 		defer f.upstreams[1].mu.Unlock()
 		return len(f.upstreams[1].ran)
 	}
-	for served() == 0 { // its answer tells that it leaves
+	for served() == 0 { // until a response announces that the node is leaving
 		f.send(f.request(0, "GET", "/read/x", ""))
 	}
-	gone.backend.SetLeaving(false)
+	leaving.backend.SetLeaving(false)
 	before := served()
 	for end := time.Now().Add(6 * time.Second); served() == before; {
 		assert.Assert(t, time.Now().Before(end), "no request in six seconds")
--- a/internal/sidecar/fleet_test.go
+++ b/internal/sidecar/fleet_test.go
@@ -27,7 +27,7 @@
 	"github.com/walldrift/walldrift/internal/version"
 )
 
-// testDialect is a dialect made up for the tests.
+// testDialect is the dialect of the platform in these tests.
 var testDialect = proxy.Dialect{
 	RequestID:            "Test-Request",
 	Deadline:             "Test-Deadline-Ms",
@@ -109,7 +109,7 @@
 	return m.update.Document, nil
 }
 
-// change edits the published state.
+// change edits the published state and wakes the watches.
 func (m *memoryStore) change(edit func(*discovery.Update)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -119,19 +119,19 @@
 	m.changed = make(chan struct{})
 }
 
-// upstream is a stand-in of an upstream. Its handler answers a request that is
-// meant for it and counts how often each request ran.
+// upstream is a test upstream. It responds to requests for its own instance ID and counts
+// how often each request ran.
 type upstream struct {
 	id     string
 	work   time.Duration
 	server *http.Server
 	addr   netip.AddrPort
 
-	denied atomic.Int32 // requests meant for another instance
+	wrongInstance atomic.Int32 // requests for another instance ID
 
 	mu     sync.Mutex
 	ran    map[string]int
-	handle http.HandlerFunc // replaces the answer; nil for the usual one
+	handle http.HandlerFunc // replaces the default response if it is set
 }
 
 func (u *upstream) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -139,7 +139,7 @@
 	own := u.id
 	u.mu.Unlock()
 	if want := r.Header.Get(testDialect.ExpectedInstance); want != own {
-		u.denied.Add(1)
+		u.wrongInstance.Add(1)
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
@@ -170,8 +170,8 @@
 	return u.ran[id]
 }
 
-// fleet is a few sidecars with an upstream beside each, on loopback addresses
-// of their own.
+// fleet is a group of sidecars with an upstream beside each, on loopback addresses of
+// their own.
 type fleet struct {
 	t         testing.TB
 	store     *memoryStore
@@ -184,8 +184,8 @@
 
 var nextBlock atomic.Int32
 
-// document is the table of the tests: reads and writes of one service, with a
-// read route split over two.
+// document returns the published document of the tests: a table with a read route and a
+// write route of one service.
 func document(edition uint64) *discovery.Document {
 	route := func(name, prefix string, idempotent bool) table.Route {
 		return table.Route{Name: name, Host: "shop.example", Prefix: prefix, Service: "shop", Kind: name, KindWeight: 1,
@@ -212,8 +212,8 @@
 	return f
 }
 
-// freePort returns a port for the addresses of the next fleet. It lies below those
-// that the system gives to connections and to listeners that ask for any.
+// freePort returns a port for the peer addresses of the next fleet. It lies below the
+// ports that the system assigns to connections and to listeners that ask for any port.
 func freePort(t testing.TB) int {
 	t.Helper()
 	const first, ports = 20000, 10000
@@ -257,7 +257,7 @@
 	return s, stop, done
 }
 
-// restart lets a sidecar leave and starts it again at its addresses.
+// restart shuts a sidecar down and starts it again at its addresses.
 func (f *fleet) restart(i int) {
 	f.stops[i]()
 	assert.NilError(f.t, <-f.done[i])
@@ -289,7 +289,7 @@
 
 var nextID atomic.Int64
 
-// request builds a request to sidecar i with an id of its own.
+// request builds a request to sidecar i with a new request ID.
 func (f *fleet) request(i int, method, path, body string) *http.Request {
 	req, err := http.NewRequest(method, "http://"+f.callers(i)+path, strings.NewReader(body))
 	assert.NilError(f.t, err)
--- a/internal/sidecar/news_test.go
+++ b/internal/sidecar/peer_update_test.go
@@ -14,8 +14,8 @@
 	"github.com/walldrift/walldrift/internal/http1"
 )
 
-// holding counts the running sidecars that have an edition in force.
-func (f *fleet) holding(edition uint64) int {
+// countHolding counts the sidecars that have an edition, or a later one, in force.
+func (f *fleet) countHolding(edition uint64) int {
 	n := 0
 	for _, s := range f.sidecars {
 		if s.holder.ID().Edition >= edition {
@@ -29,15 +29,15 @@
 	f.store.change(func(u *discovery.Update) { u.Document = document(edition) })
 }
 
-// One sidecar reads the store, the others get table and upstreams from it over
-// their connections; when it is gone, another one reads.
-func TestNewsBetweenSidecars(t *testing.T) {
+// One sidecar reads the store, and the others get table and upstreams from it as peer
+// updates. When it stops, another one becomes reader.
+func TestPeerUpdatesBetweenSidecars(t *testing.T) {
 	f := startFleet(t, 5, 0)
 	for f.store.watches() != 1 {
 		time.Sleep(time.Millisecond) // until roles are settled
 	}
 	f.publish(2)
-	for f.holding(2) < len(f.sidecars) {
+	for f.countHolding(2) < len(f.sidecars) {
 		time.Sleep(time.Millisecond)
 	}
 	assert.Assert(t, f.store.watches() <= 1)
@@ -52,7 +52,7 @@
 	f.stops[reader]()
 	assert.NilError(t, <-f.done[reader])
 	f.publish(3)
-	for f.holding(3) < len(f.sidecars)-1 {
+	for f.countHolding(3) < len(f.sidecars)-1 {
 		time.Sleep(time.Millisecond)
 	}
 	for i := range f.sidecars {
@@ -63,10 +63,10 @@
 	}
 }
 
-// A source whose first packet is lost, as on a full link, is still asked for its
-// news, while a request goes elsewhere after 0.3 s.
-func TestNewsWaitForALostPacket(t *testing.T) {
-	addr := listenFull(t)
+// A peer request succeeds although the first packet to the update source is lost, as on a
+// saturated link. A forwarded request goes elsewhere after 0.3 s.
+func TestPeerUpdateSurvivesALostPacket(t *testing.T) {
+	addr := listenWithFullQueue(t)
 	ask := func(c *http1.Client) error {
 		defer c.Close()
 		_, err := discovery.PeerClient{Transport: c}.Ask(t.Context(), addr, discovery.PeerRequest{})
@@ -75,19 +75,19 @@
 	requests := http1.DefaultClientConfig()
 	requests.DialTimeout = dialTimeout
 	assert.ErrorContains(t, ask(http1.NewClient(requests)), "timeout")
-	assert.ErrorContains(t, ask(http1.NewClient(newsClient())), "EOF", "connected, and closed by the other side")
+	assert.ErrorContains(t, ask(http1.NewClient(peerUpdateClientConfig())), "EOF", "connected, and closed by the other side")
 }
 
-// readAndClose closes a connection after its first bytes; closed with bytes unread
-// it would be reset.
+// readAndClose closes a connection after reading its first bytes, as a close with unread
+// bytes would reset it.
 func readAndClose(conn int) {
 	_, _ = syscall.Read(conn, make([]byte, 4<<10))
 	_ = syscall.Close(conn)
 }
 
-// listenFull returns an address that drops the first packet of new connections, as
-// its queue is full, until half a second has passed.
-func listenFull(t *testing.T) netip.AddrPort {
+// listenWithFullQueue returns an address that drops the first packet of new connections,
+// as its accept queue is full, until half a second has passed.
+func listenWithFullQueue(t *testing.T) netip.AddrPort {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	assert.NilError(t, err)
 	t.Cleanup(func() { _ = syscall.Close(fd) })
--- a/internal/sidecar/quota.go
+++ b/internal/sidecar/quota.go
@@ -20,86 +20,89 @@
 	"github.com/walldrift/walldrift/internal/table"
 )
 
-// headerQuota marks a request between sidecars as a question for tokens of a customer.
+// headerQuota marks a request between sidecars as a borrow request.
 const headerQuota = "Walldrift-Quota"
 
 const (
-	// lendTimeout bounds a question for tokens: many times the way there and back, and a
-	// small part of the time that a request has.
-	lendTimeout = 100 * time.Millisecond
-	// deputyTimeout bounds a question to a deputy, which may have to ask the home first.
-	deputyTimeout = 2*lendTimeout + lendTimeout/2
-	// silentMemory is how long a node that did not answer is not asked again: nodes learn
-	// within seconds that one is gone, and each question costs a request the time of one.
-	silentMemory = 500 * time.Millisecond
-	// maxLendMessage bounds an encoded question or answer.
-	maxLendMessage = 4 << 10
-	// takeTries bounds the answers for which one request waits: others may have taken what
-	// was lent.
-	takeTries = 4
+	// borrowTimeout bounds a borrow request: many times the network time, and a small part
+	// of the time that a caller's request has.
+	borrowTimeout = 100 * time.Millisecond
+	// standbyTimeout bounds a borrow request to the standby, which may have to ask the
+	// owner first.
+	standbyTimeout = 2*borrowTimeout + borrowTimeout/2
+	// unresponsiveLifetime is how long a node that did not respond gets no more borrow
+	// requests. Nodes learn within seconds that a node is gone, and each borrow request to
+	// it delays a caller's request by the timeout.
+	unresponsiveLifetime = 500 * time.Millisecond
+	// maxBorrowMessage bounds an encoded borrow request or grant, in bytes.
+	maxBorrowMessage = 4 << 10
+	// maxBorrows bounds the grants for which one request waits, as other requests may take
+	// the granted tokens.
+	maxBorrows = 4
 )
 
-// lendQuestion asks a home, or its deputy, for tokens of a customer.
-type lendQuestion struct {
+// borrowRequest asks the owner of a customer's token bucket, or its standby, for tokens.
+type borrowRequest struct {
 	Customer string        `cbor:"1,keyasint"`
 	Request  quota.Request `cbor:"2,keyasint"`
-	// Deputy asks a node that is not the home. It asks the home in turn, and lends itself
-	// if that does not answer it either.
-	Deputy bool `cbor:"3,keyasint,omitempty"`
+	// AsStandby says that the receiver is asked as the standby. It asks the owner in turn,
+	// and grants tokens itself if the owner does not respond to it either.
+	AsStandby bool `cbor:"3,keyasint,omitempty"`
 }
 
-// customerQuotas bounds the requests of customers, together with the other sidecars.
+// customerQuotas enforces the rate limits of customers together with the other sidecars.
 type customerQuotas struct {
 	client http.RoundTripper
 	holder *snapshot.Holder
-	homes  *customerHomes
-	counts quotaCounts
+	owners *quotaOwners
+	counts quotaCounters
 
-	mu       sync.Mutex // guards what follows
-	borrower *quota.Borrower
-	lender   *quota.Lender
-	asking   map[string]chan struct{}     // closed with the answer, by customer
-	silent   map[netip.AddrPort]time.Time // nodes that did not answer, until when they are not asked
-	swept    time.Time
+	mu           sync.Mutex // guards the fields below
+	borrower     *quota.Borrower
+	lender       *quota.Lender
+	pending      map[string]chan struct{}     // closed with the response, by customer
+	unresponsive map[netip.AddrPort]time.Time // until when nodes that did not respond get no borrow requests
+	sweptAt      time.Time
 }
 
-// standstill is the pause between two sweeps from which on others may have lent in place
-// of this node.
-const standstill = 2 * sweepInterval
+// pauseThreshold is the interval between two sweeps from which on this process was paused
+// and the standby may have granted tokens in its place.
+const pauseThreshold = 2 * sweepInterval
 
-// quotaCounts count requests over a limit, and questions by their end.
-type quotaCounts struct{ refused, asked, unreached tally.Counter }
+// quotaCounters count requests refused over a limit, borrow requests sent, and those
+// without a response.
+type quotaCounters struct{ refused, sent, unanswered tally.Counter }
 
 func newCustomerQuotas(s *Sidecar) *customerQuotas {
 	scope := s.metrics.Scope
 	return &customerQuotas{
-		client: s.hop,
+		client: s.peerClient,
 		holder: s.holder,
-		homes:  newCustomerHomes(s.follower.Members, s.cfg.Upstream.Addr(), clock.Now()),
-		counts: quotaCounts{
-			refused:   scope.Counter("quota_refusals"),
-			asked:     scope.Counter("quota_questions"),
-			unreached: scope.Counter("quota_questions_unanswered"),
+		owners: newQuotaOwners(s.follower.Members, s.cfg.Upstream.Addr(), clock.Now()),
+		counts: quotaCounters{
+			refused:    scope.Counter("quota_refusals"),
+			sent:       scope.Counter("quota_questions"),
+			unanswered: scope.Counter("quota_questions_unanswered"),
 		},
-		borrower: quota.NewBorrower(rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))),
-		lender:   quota.NewLender(),
-		asking:   make(map[string]chan struct{}),
-		silent:   make(map[netip.AddrPort]time.Time),
+		borrower:     quota.NewBorrower(rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))),
+		lender:       quota.NewLender(),
+		pending:      make(map[string]chan struct{}),
+		unresponsive: make(map[netip.AddrPort]time.Time),
 	}
 }
 
 func limitOf(c *table.Customer) quota.Limit { return quota.Limit{Rate: c.Rate, Burst: c.Burst} }
 
-// Take is described at proxy.Quota.
+// Take implements proxy.Quota.
 func (q *customerQuotas) Take(ctx context.Context, c *table.Customer) (bool, time.Duration) {
-	var after time.Duration
-	for range takeTries {
+	var retryAfter time.Duration
+	for range maxBorrows {
 		q.mu.Lock()
 		var v quota.Verdict
-		v, after = q.borrower.Admit(clock.Now(), c.Name, limitOf(c), q.homes.count())
-		var answer chan struct{}
+		v, retryAfter = q.borrower.Admit(clock.Now(), c.Name, limitOf(c), q.owners.aliveCount())
+		var response chan struct{}
 		if v == quota.AllowedAndBorrow || v == quota.MustBorrow {
-			answer = q.ask(c)
+			response = q.startBorrow(c)
 		}
 		q.mu.Unlock()
 		switch v {
@@ -107,141 +110,144 @@
 			return true, 0
 		case quota.Refused:
 			q.counts.refused.Inc(1)
-			return false, after
+			return false, retryAfter
 		}
 		select {
-		case <-answer:
+		case <-response:
 		case <-ctx.Done():
 			return false, quota.Lease
 		}
 	}
 	q.counts.refused.Inc(1)
-	return false, max(after, turnAfterTries)
+	return false, max(retryAfter, retryAfterBorrows)
 }
 
-// turnAfterTries is the advice to a request that found nothing left in several answers.
-const turnAfterTries = 50 * time.Millisecond
+// retryAfterBorrows is the retry delay suggested to a request that found no tokens left
+// after several grants.
+const retryAfterBorrows = 50 * time.Millisecond
 
-// Return is described at proxy.Quota.
+// Return implements proxy.Quota.
 func (q *customerQuotas) Return(c *table.Customer) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.borrower.Return(clock.Now(), c.Name)
 }
 
-// ask asks for tokens of a customer, once at a time. The channel that it returns is closed
-// with the answer. The lock is held.
-func (q *customerQuotas) ask(c *table.Customer) chan struct{} {
-	if answer, ok := q.asking[c.Name]; ok {
-		return answer
+// startBorrow borrows tokens of a customer, with one borrow request per customer in
+// flight. It returns a channel that is closed when the response is there. The caller holds
+// the lock.
+func (q *customerQuotas) startBorrow(c *table.Customer) chan struct{} {
+	if response, ok := q.pending[c.Name]; ok {
+		return response
 	}
-	answer := make(chan struct{})
+	response := make(chan struct{})
 	now := clock.Now()
 	r := q.borrower.StartBorrowing(now, c.Name)
-	if home := q.homes.of(c.Name); home.self {
-		q.borrower.ApplyGrant(now, now, c.Name, r, q.lender.Lend(now, home.since, c.Name, limitOf(c), r))
-		close(answer)
-		return answer
+	if owner := q.owners.ownerOf(c.Name); owner.self {
+		q.borrower.ApplyGrant(now, now, c.Name, r, q.lender.Lend(now, owner.since, c.Name, limitOf(c), r))
+		close(response)
+		return response
 	}
-	q.asking[c.Name] = answer
-	go q.borrow(c.Name, r, answer)
-	return answer
+	q.pending[c.Name] = response
+	go q.borrow(c.Name, r, response)
+	return response
 }
 
-// borrow asks the home of a customer, and its deputy if that does not answer.
-func (q *customerQuotas) borrow(customer string, r quota.Request, answer chan struct{}) {
+// borrow asks the owner of a customer's bucket for tokens, and the standby if the owner
+// does not respond.
+func (q *customerQuotas) borrow(customer string, r quota.Request, response chan struct{}) {
 	sent := clock.Now()
-	home := q.homes.of(customer)
-	g, err := q.question(home.peer, lendTimeout, lendQuestion{Customer: customer, Request: r})
+	owner := q.owners.ownerOf(customer)
+	g, err := q.sendBorrow(owner.peer, borrowTimeout, borrowRequest{Customer: customer, Request: r})
 	if err != nil {
 		sent = clock.Now()
-		g, err = q.question(home.deputy, deputyTimeout, lendQuestion{Customer: customer, Request: r, Deputy: true})
+		g, err = q.sendBorrow(owner.standby, standbyTimeout, borrowRequest{Customer: customer, Request: r, AsStandby: true})
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if err != nil {
-		q.counts.unreached.Inc(1)
+		q.counts.unanswered.Inc(1)
 		q.borrower.OwnerUnreachable(clock.Now(), customer, r)
 	} else {
 		q.borrower.ApplyGrant(clock.Now(), sent, customer, r, g)
 	}
-	delete(q.asking, customer)
-	close(answer)
+	delete(q.pending, customer)
+	close(response)
 }
 
 var (
-	// errNoHome reports that no node is known that could lend.
-	errNoHome = errors.New("no home is known")
-	// errSilent reports a node that did not answer a short while ago.
-	errSilent = errors.New("did not answer lately")
+	// errNoOwner reports that no node is known that could grant tokens.
+	errNoOwner = errors.New("no owner is known")
+	// errUnresponsive reports a node that did not respond a short while ago.
+	errUnresponsive = errors.New("did not respond recently")
 )
 
-// question sends a question and returns the answer.
-func (q *customerQuotas) question(to netip.AddrPort, timeout time.Duration, ask lendQuestion) (g quota.Grant, err error) {
+// sendBorrow sends a borrow request and returns the grant.
+func (q *customerQuotas) sendBorrow(to netip.AddrPort, timeout time.Duration, request borrowRequest) (g quota.Grant, err error) {
 	switch {
 	case !to.IsValid():
-		return g, errNoHome
-	case q.isSilent(to):
-		return g, errSilent
+		return g, errNoOwner
+	case q.isUnresponsive(to):
+		return g, errUnresponsive
 	}
-	q.counts.asked.Inc(1)
+	q.counts.sent.Inc(1)
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
-	if err = peerhttp.Ask(ctx, q.client, to, headerQuota, ask, &g, maxLendMessage); err != nil {
-		q.noteSilent(to)
+	if err = peerhttp.Ask(ctx, q.client, to, headerQuota, request, &g, maxBorrowMessage); err != nil {
+		q.markUnresponsive(to)
 	}
 	return g, err
 }
 
-func (q *customerQuotas) isSilent(node netip.AddrPort) bool {
+func (q *customerQuotas) isUnresponsive(node netip.AddrPort) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return clock.Now().Before(q.silent[node])
+	return clock.Now().Before(q.unresponsive[node])
 }
 
-func (q *customerQuotas) noteSilent(node netip.AddrPort) {
+func (q *customerQuotas) markUnresponsive(node netip.AddrPort) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.silent[node] = clock.Now().Add(silentMemory)
+	q.unresponsive[node] = clock.Now().Add(unresponsiveLifetime)
 }
 
-// answer serves the questions of other sidecars.
-func (q *customerQuotas) answer(w http.ResponseWriter, r *http.Request) {
-	var ask lendQuestion
-	if err := peerhttp.Read(r.Body, &ask, maxLendMessage); err != nil {
+// serve handles the borrow requests of other sidecars.
+func (q *customerQuotas) serve(w http.ResponseWriter, r *http.Request) {
+	var request borrowRequest
+	if err := peerhttp.Read(r.Body, &request, maxBorrowMessage); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	g, err := q.lend(ask)
+	g, err := q.lend(request)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusNotFound)
 		return
 	}
-	_ = peerhttp.Answer(w, g) // the asking node is told, and goes by its reserve
+	_ = peerhttp.Answer(w, g) // without a response the borrower uses its local reserve
 }
 
-// errUnknownCustomer reports a customer that is not in the table in force here.
+// errUnknownCustomer reports a customer that is not in the table in force on this node.
 var errUnknownCustomer = errors.New("customer is not in the table")
 
-// lend lends tokens of a customer to another sidecar.
-func (q *customerQuotas) lend(ask lendQuestion) (quota.Grant, error) {
-	limit, ok := q.limit(ask.Customer)
+// lend grants tokens of a customer to another sidecar.
+func (q *customerQuotas) lend(request borrowRequest) (quota.Grant, error) {
+	limit, ok := q.limit(request.Customer)
 	if !ok {
 		return quota.Grant{}, errUnknownCustomer
 	}
-	home := q.homes.of(ask.Customer)
-	if ask.Deputy && !home.self {
-		if g, err := q.question(home.peer, lendTimeout, lendQuestion{Customer: ask.Customer, Request: ask.Request}); err == nil {
+	owner := q.owners.ownerOf(request.Customer)
+	if request.AsStandby && !owner.self {
+		if g, err := q.sendBorrow(owner.peer, borrowTimeout, borrowRequest{Customer: request.Customer, Request: request.Request}); err == nil {
 			return g, nil
 		}
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	now := clock.Now()
-	if home.self {
-		return q.lender.Lend(now, home.since, ask.Customer, limit, ask.Request), nil
+	if owner.self {
+		return q.lender.Lend(now, owner.since, request.Customer, limit, request.Request), nil
 	}
-	return q.lender.LendAsStandby(now, ask.Customer, limit, ask.Request.Want), nil
+	return q.lender.LendAsStandby(now, request.Customer, limit, request.Request.Want), nil
 }
 
 // limit returns the limit of a customer in the table in force.
@@ -257,8 +263,8 @@
 	return limitOf(c), true
 }
 
-// list returns what operators see of the customers.
-func (q *customerQuotas) list(now time.Time) []admin.CustomerQuota {
+// report returns the quotas of all customers for operators.
+func (q *customerQuotas) report(now time.Time) []admin.CustomerQuota {
 	out := []admin.CustomerQuota{}
 	snap := q.holder.Current()
 	if snap == nil {
@@ -270,9 +276,9 @@
 		count := q.borrower.Count(c.Name)
 		row := admin.CustomerQuota{Customer: c.Name, Keys: len(c.Keys), Rate: c.Rate, Burst: c.Burst, Taken: count.Admitted, Refused: count.Refused}
 		if c.Rate > 0 {
-			home := q.homes.of(c.Name)
-			row.Home = home.peer.String()
-			if home.self {
+			owner := q.owners.ownerOf(c.Name)
+			row.Home = owner.peer.String()
+			if owner.self {
 				row.Tokens = q.lender.Tokens(now, c.Name)
 			}
 		}
@@ -281,23 +287,22 @@
 	return out
 }
 
-// interrupted notes that this process stood still.
-func (q *customerQuotas) interrupted(now time.Time) {
+// paused notes that this process was paused.
+func (q *customerQuotas) paused(now time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.lender.Paused(now)
 }
 
-// sweep forgets what is of no use any more. One that comes late says that the process stood
-// still.
+// sweep drops expired state. A late sweep shows that the process was paused.
 func (q *customerQuotas) sweep(now time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if !q.swept.IsZero() && now.Sub(q.swept) > standstill {
+	if !q.sweptAt.IsZero() && now.Sub(q.sweptAt) > pauseThreshold {
 		q.lender.Paused(now)
 	}
-	q.swept = now
-	maps.DeleteFunc(q.silent, func(_ netip.AddrPort, until time.Time) bool { return now.After(until) })
+	q.sweptAt = now
+	maps.DeleteFunc(q.unresponsive, func(_ netip.AddrPort, until time.Time) bool { return now.After(until) })
 	q.borrower.Sweep(now)
 	q.lender.Keep(func(customer string) bool {
 		_, ok := q.limit(customer)
--- a/internal/sidecar/reload.go
+++ b/internal/sidecar/reload.go
@@ -12,25 +12,26 @@
 	"github.com/walldrift/walldrift/internal/settings"
 )
 
-// reloadInterval is how often the settings file is looked at, as it may change
-// without a signal.
+// reloadInterval is how often the settings file is checked, as it may change without a
+// signal.
 const reloadInterval = time.Second
 
-// SettingsFile is a settings file as it was at a time.
+// SettingsFile is a settings file with the state in which it was last seen.
 type SettingsFile struct {
 	path string
-	seen stamp
+	seen fileStamp
 }
 
-// NewSettingsFile returns a file as it is now. Call it before the file is read: a change that
-// comes after, and before the file is watched, is then not taken for what was read.
+// NewSettingsFile returns a settings file in its present state. Call it before the file is
+// read, so that WatchSettings notices a change that comes after the reading and before the
+// watching.
 func NewSettingsFile(path string) *SettingsFile {
-	return &SettingsFile{path: path, seen: fileState(path)}
+	return &SettingsFile{path: path, seen: statFile(path)}
 }
 
-// WatchSettings takes over changed settings until ctx ends: at once on SIGHUP,
-// otherwise when the file's time or size differs. load reads the file; its
-// errors are logged, and the settings in force stay.
+// WatchSettings applies changed settings until ctx is cancelled: at once on SIGHUP,
+// otherwise when the modification time or the size of the file changes. load reads the
+// file. Its errors are logged, and the settings in force stay.
 func (s *Sidecar) WatchSettings(ctx context.Context, file *SettingsFile, load func() (*settings.Sidecar, error)) {
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
@@ -44,7 +45,7 @@
 		case <-hup:
 			s.log.Info("reload asked for by signal")
 		case <-tick.C:
-			now := fileState(file.path)
+			now := statFile(file.path)
 			if now == file.seen {
 				continue
 			}
@@ -59,29 +60,29 @@
 	}
 }
 
-// stamp tells two states of a file apart; the zero value stands for none.
-type stamp struct {
+// fileStamp identifies the state of a file. The zero value stands for a missing file.
+type fileStamp struct {
 	modified time.Time
 	size     int64
 }
 
-func fileState(file string) stamp {
+func statFile(file string) fileStamp {
 	info, err := os.Stat(file)
 	if err != nil {
-		return stamp{}
+		return fileStamp{}
 	}
-	return stamp{modified: info.ModTime(), size: info.Size()}
+	return fileStamp{modified: info.ModTime(), size: info.Size()}
 }
 
-// Reload takes over the settings that can change while the process runs: the
-// service beside it and the log level. Changes of others are named in the log
-// and take a restart.
+// Reload applies the settings that can change while the process runs: the service of the
+// own upstream and the log level. If others have changed, the log line says that a restart
+// is needed.
 func (s *Sidecar) Reload(next *settings.Sidecar) {
 	s.service.Store(&next.Service)
 	if level, err := log.ParseLevel(next.LogLevel); err == nil {
 		s.log.SetLevel(level)
 	}
-	kept, asked := *s.cfg, *next
-	kept.Service, kept.LogLevel = asked.Service, asked.LogLevel
-	s.log.Info("settings reloaded", "service", next.Service, "log_level", next.LogLevel, "restart_needed", kept != asked)
+	current, requested := *s.cfg, *next
+	current.Service, current.LogLevel = requested.Service, requested.LogLevel
+	s.log.Info("settings reloaded", "service", next.Service, "log_level", next.LogLevel, "restart_needed", current != requested)
 }
--- a/internal/sidecar/record.go
+++ b/internal/sidecar/request_log.go
@@ -11,18 +11,19 @@
 	"github.com/walldrift/walldrift/internal/proxy"
 )
 
-// recorder writes a line for each request whose decisions matter, within a budget.
-type recorder struct {
-	log    *log.Logger
-	budget *lineBudget
+// requestLog writes a log line for each request whose decisions matter, within a rate
+// limit.
+type requestLog struct {
+	log     *log.Logger
+	limiter *logLimiter
 }
 
-func newRecorder(l *log.Logger) *recorder {
-	return &recorder{log: l, budget: newLineBudget()}
+func newRequestLog(l *log.Logger) *requestLog {
+	return &requestLog{log: l, limiter: newLogLimiter()}
 }
 
-func (r *recorder) record(rec *proxy.Record) {
-	leftOut, ok := r.budget.take()
+func (r *requestLog) record(rec *proxy.Record) {
+	suppressed, ok := r.limiter.allow()
 	if !ok {
 		return
 	}
@@ -46,13 +47,14 @@
 		"table_age_ms", millis(rec.Cut.TableAge),
 		"fingerprint", rec.Fingerprint.String(),
 		"tries", formatTries(rec.Tries),
-		"left_out", leftOut,
+		"left_out", suppressed,
 	}
-	r.log.Info("request", append(fields, leavingFields(rec.Leaving)...)...)
+	r.log.Info("request", append(fields, shutdownFields(rec.Leaving)...)...)
 }
 
-// leavingFields are those of a request that a leaving node took, refused or cut.
-func leavingFields(l *proxy.ShutdownRecord) []any {
+// shutdownFields returns the additional log fields of a request that a leaving node
+// admitted, refused or cut.
+func shutdownFields(l *proxy.ShutdownRecord) []any {
 	if l == nil {
 		return nil
 	}
@@ -69,7 +71,7 @@
 
 func millis(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 
-// formatTries writes tries as "upstream@12.5ms+30.1ms:class:status:reason:load".
+// formatTries formats tries as "upstream@12.5ms+30.1ms:class:status:reason:load".
 func formatTries(tries []proxy.TryRecord) string {
 	var b strings.Builder
 	for i, t := range tries {
--- a/internal/sidecar/leaving_wait_test.go
+++ b/internal/sidecar/shutdown_queue_test.go
@@ -14,15 +14,15 @@
 	"github.com/walldrift/walldrift/internal/proxy"
 )
 
-// Requests of another node waited for a slot as a leaving node was out of time. As its
-// process ended what ran, they got the free slots and were sent to the upstream, 15 of
-// 60 in a trial, and all lost their answers with the process. What has not begun
-// at the cut is refused as such and goes elsewhere.
-func TestLeavingNodeRefusesWhatWaitsAtTheCut(t *testing.T) {
+// Requests of another node that wait for a slot at the shutdown cut are refused as not
+// run, and can be retried elsewhere. Otherwise they got the slots that the cut freed and
+// were sent to the upstream, 15 of 60 in a test, and all lost their responses with the
+// process.
+func TestShutdownCutRefusesWaitingRequests(t *testing.T) {
 	f := startFleet(t, 2, 0)
-	f.waitLonger(20*time.Second, 15*time.Second) // than the node stays
+	f.publishTimeouts(20*time.Second, 15*time.Second) // longer than the node runs
 	release := make(chan struct{})
-	f.misbehave(func(_ *upstream, w http.ResponseWriter, _ *http.Request) { <-release })
+	f.setHandlers(func(_ *upstream, w http.ResponseWriter, _ *http.Request) { <-release })
 	const n = 60 // more than the slots of both upstreams
 	ids, unknown := make([]string, n), make(chan string, n)
 	var group sync.WaitGroup
@@ -43,7 +43,7 @@
 		})
 	}
 	up, gate := f.upstreams[0], f.sidecars[0].backend
-	began := func() map[string]bool {
+	started := func() map[string]bool {
 		all := make(map[string]bool)
 		for _, id := range ids {
 			if up.runs(id) > 0 {
@@ -52,24 +52,24 @@
 		}
 		return all
 	}
-	for gate.Load().Waiting == 0 || len(began()) < gate.Load().Slots {
+	for gate.Load().Waiting == 0 || len(started()) < gate.Load().Slots {
 		time.Sleep(time.Millisecond)
 	}
-	running := began()
+	running := started()
 	f.stops[0]()
 	assert.NilError(t, <-f.done[0])
 	close(release)
 	group.Wait()
 	close(unknown)
 	for id := range unknown {
-		assert.Assert(t, running[id], "%s waited, and its caller was told that it may have run", id)
+		assert.Assert(t, running[id], "%s waited, but its response says that it may have run", id)
 	}
-	assert.Equal(t, len(began()), len(running), "begun after the cut")
+	assert.Equal(t, len(started()), len(running), "requests started after the cut")
 }
 
-// waitLonger publishes a table with the time limit and the objective of all routes, so that
-// requests may wait longer than news take.
-func (f *fleet) waitLonger(timeout, objective time.Duration) {
+// publishTimeouts publishes a table with this timeout and objective on all routes, so that
+// requests may wait longer than a change of the store takes to arrive.
+func (f *fleet) publishTimeouts(timeout, objective time.Duration) {
 	f.store.change(func(u *discovery.Update) {
 		u.Document = document(2)
 		for i := range u.Document.Table.Routes {
@@ -83,13 +83,14 @@
 	}
 }
 
-// What waits for a slot of an upstream that leaves is refused at once and may go
-// elsewhere: it reached the upstream later than everybody knew that it had left.
-func TestWaitingRequestLeavesALeavingUpstream(t *testing.T) {
+// Requests that wait for a slot of an upstream that leaves are refused at once, and can be
+// retried elsewhere. Otherwise they reached the upstream after all nodes knew that it had
+// left.
+func TestLeavingUpstreamRefusesWaitingRequests(t *testing.T) {
 	f := startFleet(t, 1, 0)
-	f.waitLonger(2*time.Second, 2*time.Second)
+	f.publishTimeouts(2*time.Second, 2*time.Second)
 	release := make(chan struct{})
-	f.misbehave(func(_ *upstream, w http.ResponseWriter, _ *http.Request) {
+	f.setHandlers(func(_ *upstream, w http.ResponseWriter, _ *http.Request) {
 		<-release
 		_, _ = io.WriteString(w, "ok")
 	})
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -1,7 +1,6 @@
-// Package sidecar assembles the process that stands beside one upstream on a
-// platform that publishes tables and upstreams in a store: it follows the
-// store, carries the requests of its machine's callers, and admits the work of
-// its own upstream.
+// Package sidecar assembles the process beside one upstream on a platform that publishes
+// tables and upstreams in a store. The process follows the store, routes the requests of
+// the callers on its machine, and admits requests to its own upstream.
 package sidecar
 
 import (
@@ -26,7 +25,7 @@
 	"github.com/walldrift/walldrift/internal/telemetry"
 )
 
-// Platform is what the adapter of a platform gives.
+// Platform is what the adapter of a platform provides.
 type Platform struct {
 	Dialect   proxy.Dialect
 	ReadyPath string
@@ -34,48 +33,48 @@
 	Source func(address string) discovery.Source
 }
 
-// Sidecar is one running process.
+// Sidecar is one sidecar process.
 type Sidecar struct {
-	cfg      *settings.Sidecar
-	platform Platform
-	log      *log.Logger
-	metrics  *telemetry.Metrics
-	holder   *snapshot.Holder
-	follower *discovery.Follower
-	backend  *proxy.Backend
-	frontend *proxy.Frontend
-	hop      *http1.Client // to other nodes, for requests
-	news     *http1.Client // to other nodes, for news
-	upstream *http1.Client
-	servers  servers
-	service  atomic.Pointer[string]
-	leaving  atomic.Bool
-	// own is the own upstream as published last, and closed why it gets no work: at
-	// first since it is not published, which alone refuses nothing. Both are guarded by
-	// the follower.
-	own    discovery.KnownUpstream
-	closed admission.Reason
-	guard  *coldGuard
-	held   *heldRequests
-	quotas *customerQuotas
-}
-
-// servers are the listening sides; metrics may be without a listener.
+	cfg              *settings.Sidecar
+	platform         Platform
+	log              *log.Logger
+	metrics          *telemetry.Metrics
+	holder           *snapshot.Holder
+	follower         *discovery.Follower
+	backend          *proxy.Backend
+	frontend         *proxy.Frontend
+	peerClient       *http1.Client // forwards requests to other nodes
+	peerUpdateClient *http1.Client // sends peer requests to update sources
+	upstream         *http1.Client
+	servers          servers
+	service          atomic.Pointer[string]
+	leaving          atomic.Bool
+	// ownUpstream is the own upstream as last published. blockReason says why it gets no
+	// requests. It starts as draining since the upstream is not published yet; that alone
+	// refuses no requests. The follower's lock guards both.
+	ownUpstream discovery.KnownUpstream
+	blockReason admission.Reason
+	guard       *coldGuard
+	quarantined *sharedQuarantine
+	quotas      *customerQuotas
+}
+
+// servers are the HTTP servers of a sidecar. The metrics server may have no listener.
 type servers struct {
 	callers, peers, ready, metrics *http1.Server
 	listeners                      []net.Listener
 }
 
-// all returns the servers in the order of their listeners.
+// all returns the servers that have a listener, in the order of the listeners.
 func (s servers) all() []*http1.Server {
 	return []*http1.Server{s.callers, s.peers, s.ready, s.metrics}[:len(s.listeners)]
 }
 
-// New binds the addresses of a sidecar and prepares it; Run starts it.
+// New creates a sidecar and binds its addresses. Run starts it.
 func New(cfg *settings.Sidecar, p Platform, logger *log.Logger) (*Sidecar, error) {
 	debug.SetMemoryLimit(int64(cfg.MemoryLimit) << 20)
 	debug.SetGCPercent(cfg.GCPercent)
-	s := &Sidecar{cfg: cfg, platform: p, log: logger, metrics: telemetry.NewMetrics(), holder: &snapshot.Holder{}, closed: admission.ReasonDraining}
+	s := &Sidecar{cfg: cfg, platform: p, log: logger, metrics: telemetry.NewMetrics(), holder: &snapshot.Holder{}, blockReason: admission.ReasonDraining}
 	s.service.Store(&cfg.Service)
 	s.build()
 	if err := s.bind(); err != nil {
@@ -91,30 +90,30 @@
 	}
 }
 
-// closeAll closes listeners and connections at once.
+// closeAll closes all listeners and connections immediately.
 func (s *Sidecar) closeAll() {
 	for _, server := range s.servers.all() {
 		server.Close()
 	}
 }
 
-// directoryChanged takes over what the store says of the own upstream.
+// directoryChanged applies what the store publishes about the own upstream.
 func (s *Sidecar) directoryChanged(d *discovery.Directory) {
-	s.quotas.homes.membersChanged()
+	s.quotas.owners.membersChanged()
 	own, ok := d.At(s.cfg.Upstream)
 	if ok && own.Slots > 0 {
-		s.backend.SetSlots(own.Slots + own.Slots/handOverShare)
+		s.backend.SetSlots(own.Slots + own.Slots/slotsPerExtraRequest)
 	}
 	if ok {
-		s.followLife(own)
-		s.guard.follow(own)
+		s.detectRestart(own)
+		s.guard.applyPublished(own)
 	}
-	s.followUpstream(s.closedFor(d, own, ok))
+	s.applyBlockReason(s.blockReasonFor(d, own, ok))
 }
 
-// closedFor says why the own upstream gets no work, by what is published of it;
-// ReasonNone if it does.
-func (s *Sidecar) closedFor(d *discovery.Directory, own discovery.KnownUpstream, published bool) admission.Reason {
+// blockReasonFor returns why the own upstream gets no requests, or ReasonNone if it does
+// get them, according to what is published about it.
+func (s *Sidecar) blockReasonFor(d *discovery.Directory, own discovery.KnownUpstream, published bool) admission.Reason {
 	switch {
 	case !published || own.Leaving:
 		return admission.ReasonDraining
@@ -124,10 +123,11 @@
 	return admission.ReasonNone
 }
 
-// followLife gives up what belongs to an earlier life of the own upstream.
-func (s *Sidecar) followLife(own discovery.KnownUpstream) {
-	before := s.own
-	s.own = own
+// detectRestart stores the published own upstream. If that is another process than before,
+// it drops the state and the connections of the earlier process.
+func (s *Sidecar) detectRestart(own discovery.KnownUpstream) {
+	before := s.ownUpstream
+	s.ownUpstream = own
 	if before.ID != "" && own.ID != before.ID {
 		s.backend.UpstreamReplaced()
 	}
@@ -139,32 +139,32 @@
 	s.backend.UpstreamRestarted()
 }
 
-// followUpstream takes work for the own upstream while that is published as ready and
-// its data centre is not evacuated. Otherwise it gets nothing more, and what waits for
-// it is refused at once, in time for another one.
-func (s *Sidecar) followUpstream(closed admission.Reason) {
-	if s.closed == closed {
+// applyBlockReason admits requests to the own upstream while that is published as ready
+// and its data centre is not evacuated. Otherwise it refuses new requests and those that
+// wait, at once, so that they have time for another upstream.
+func (s *Sidecar) applyBlockReason(reason admission.Reason) {
+	if s.blockReason == reason {
 		return
 	}
-	s.closed = closed
-	s.log.Info("work of the own upstream", "taken", closed == admission.ReasonNone, "closed", closed, "upstream", s.cfg.Upstream)
-	if closed == admission.ReasonNone {
+	s.blockReason = reason
+	s.log.Info("work of the own upstream", "taken", reason == admission.ReasonNone, "closed", reason, "upstream", s.cfg.Upstream)
+	if reason == admission.ReasonNone {
 		s.backend.SetDraining(s.leaving.Load())
 		return
 	}
-	s.backend.RefuseAll(closed)
+	s.backend.RefuseAll(reason)
 }
 
-// Ready reports whether callers may come.
+// Ready reports whether callers may send requests.
 func (s *Sidecar) Ready() bool { return s.holder.Current() != nil && !s.leaving.Load() }
 
-// Timing of the background work.
+// Intervals of background work.
 const (
 	sweepInterval = time.Second
 	drainPoll     = 20 * time.Millisecond
 )
 
-// Run serves until ctx ends, then shuts down gracefully.
+// Run serves until ctx is cancelled, then shuts down gracefully.
 func (s *Sidecar) Run(ctx context.Context) error {
 	run, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
@@ -175,8 +175,8 @@
 		group.Go(func() { failed <- server.Serve(listener) })
 	}
 	group.Go(func() { s.follower.Run(run) })
-	group.Go(func() { s.held.run(run) })
-	group.Go(func() { clock.Watch(run, s.resumed) })
+	group.Go(func() { s.quarantined.run(run) })
+	group.Go(func() { clock.Watch(run, s.machineResumed) })
 	group.Go(func() { periodic.Run(run, sweepInterval, s.sweep) })
 	s.log.Info("started", "callers", s.cfg.Callers, "peers", s.cfg.Peers, "store", s.cfg.Store, "service", s.cfg.Service)
 	var err error
@@ -189,33 +189,35 @@
 	s.closeAll()
 	group.Wait()
 	s.guard.stop()
-	s.hop.Close()
-	s.news.Close()
+	s.peerClient.Close()
+	s.peerUpdateClient.Close()
 	s.upstream.Close()
 	s.log.Info("stopped")
 	return errors.CombineErrors(err, s.metrics.Close())
 }
 
-// resumed takes over that the machine was suspended: all that is known is older by that.
-func (s *Sidecar) resumed(away time.Duration) {
+// machineResumed handles a suspension of the machine: all known state is older by its
+// length.
+func (s *Sidecar) machineResumed(suspendedFor time.Duration) {
 	s.metrics.Scope.Counter("suspensions").Inc(1)
-	s.log.Warn("machine was suspended", "for", away)
+	s.log.Warn("machine was suspended", "for", suspendedFor)
 	s.follower.HandleResume()
-	s.quotas.interrupted(clock.Now())
+	s.quotas.paused(clock.Now())
 }
 
-// sweep forgets what is too old. Idle connections go by the steady time that it is given.
+// sweep drops expired state. Idle connections expire by steady, the time of the steady
+// clock.
 func (s *Sidecar) sweep(steady time.Time) {
-	s.hop.CloseExpired(steady)
-	s.news.CloseExpired(steady)
+	s.peerClient.CloseExpired(steady)
+	s.peerUpdateClient.CloseExpired(steady)
 	s.upstream.CloseExpired(steady)
 	s.frontend.Prune()
-	s.held.sweep(clock.Now())
+	s.quarantined.sweep(clock.Now())
 	s.quotas.sweep(clock.Now())
-	s.gauges()
+	s.updateGauges()
 }
 
-// boolGauge is 1 for true.
+// boolGauge returns 1 for true and 0 for false.
 func boolGauge(b bool) float64 {
 	if b {
 		return 1
@@ -223,8 +225,8 @@
 	return 0
 }
 
-// gauges updates what is measured now and then.
-func (s *Sidecar) gauges() {
+// updateGauges updates the gauges that are sampled periodically.
+func (s *Sidecar) updateGauges() {
 	load := s.backend.Load()
 	m := s.metrics.Scope
 	m.Gauge("slots").Update(float64(load.Slots))
@@ -233,11 +235,11 @@
 	m.Gauge("requests_in_flight").Update(float64(s.frontend.InFlight()))
 	m.Gauge("caller_connections").Update(float64(s.servers.callers.Conns()))
 	m.Gauge("table_edition").Update(float64(s.holder.ID().Edition))
-	follow := s.follower.Status(clock.Now())
-	m.Gauge("store_reader").Update(boolGauge(follow.Reader))
-	m.Gauge("evacuated_data_centres").Update(float64(len(follow.Evacuated)))
+	followerStatus := s.follower.Status(clock.Now())
+	m.Gauge("store_reader").Update(boolGauge(followerStatus.Reader))
+	m.Gauge("evacuated_data_centres").Update(float64(len(followerStatus.Evacuated)))
 	m.Gauge("store_calls").Update(float64(s.follower.Calls()))
-	m.Gauge("news_age_seconds").Update(follow.Staleness.Seconds())
+	m.Gauge("news_age_seconds").Update(followerStatus.Staleness.Seconds())
 	m.Gauge("store_away_seconds").Update(s.follower.StoreUnreachableFor(clock.Now()).Seconds())
 	m.Gauge("upstream_connections_made").Update(float64(s.upstream.DialCount()))
 }
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -61,8 +61,8 @@
 	group.Wait()
 }
 
-// A changed settings file is taken over, with SIGHUP or without, and a bad one
-// leaves the settings in force.
+// A changed settings file is applied with or without SIGHUP. An invalid one leaves the
+// settings in force.
 func TestSettingsAreReloaded(t *testing.T) {
 	f := startFleet(t, 1, 0)
 	s := f.sidecars[0]
@@ -90,7 +90,7 @@
 		return h.Get("Seen-Caller")
 	}
 	assert.Equal(t, caller(), "shop")
-	replace(t, file, "22")
+	replaceFile(t, file, "22")
 	assert.Equal(t, <-loaded, "second")
 	for range 2 {
 		assert.NilError(t, syscall.Kill(os.Getpid(), syscall.SIGHUP))
@@ -101,22 +101,22 @@
 	assert.Equal(t, caller(), "third")
 }
 
-// replace writes a file anew in one step.
-func replace(t *testing.T, file, text string) {
+// replaceFile replaces a file atomically.
+func replaceFile(t *testing.T, file, text string) {
 	assert.NilError(t, os.WriteFile(file+".new", []byte(text), 0o600))
 	assert.NilError(t, os.Rename(file+".new", file))
 }
 
-// A sidecar went on with the settings that it had read when the file changed before it
-// began to watch it: it took the changed file for the one that it had read, until the next
-// signal. A test that changes a file beside busy processes waited for that for 590 s.
-func TestSettingsThatChangeBeforeTheyAreWatched(t *testing.T) {
+// A sidecar kept the settings that it had read if the file changed before WatchSettings
+// began to watch it: it took the state of the changed file for that of the file it had
+// read, until the next signal.
+func TestSettingsChangedBeforeWatchAreReloaded(t *testing.T) {
 	f := startFleet(t, 1, 0)
 	s := f.sidecars[0]
 	file := filepath.Join(t.TempDir(), "s.ini")
 	assert.NilError(t, os.WriteFile(file, []byte("1"), 0o600))
 	seen := NewSettingsFile(file)
-	replace(t, file, "22")
+	replaceFile(t, file, "22")
 	loaded := make(chan struct{}, 8)
 	load := func() (*settings.Sidecar, error) { loaded <- struct{}{}; return s.cfg, nil }
 	go s.WatchSettings(t.Context(), seen, load)
