--- a/internal/http1/deadline_test.go
+++ b/internal/http1/deadline_test.go
@@ -87,8 +87,8 @@
 	assert.Equal(t, body, "/a")
 }
 
-// A request that races with the close stays unread until its caller can see the close, so
-// that the caller can safely send it again.
+// A request that races with the close is not read, so that its caller, which sees the
+// close, can safely send it again.
 func TestRequestRacingWithTheCloseStaysUnread(t *testing.T) {
 	reads := newStallPoint(1 << 32)
 	ends := make(chan ConnEnd, 1)
