--- a/internal/distribution/actions.go
+++ b/internal/distribution/actions.go
@@ -1,9 +1,9 @@
 package distribution
 
-// Cause is the reason for a control message, for the byte counters.
+// Cause is the reason for a control message; sent bytes are counted by it.
 type Cause uint8
 
-// The causes.
+// Causes of control messages.
 const (
 	CausePush Cause = iota
 	CauseHeal
@@ -12,34 +12,34 @@
 	CauseCensus
 )
 
-// OutboundMessage is a message for one neighbour.
+// OutboundMessage is a message to one neighbour.
 type OutboundMessage struct {
 	To    string
 	Msg   *Message
 	Cause Cause
 }
 
-// Actions is what the caller of an Engine method must carry out.
+// Actions is the output of an Engine method, to be executed by its caller.
 type Actions struct {
 	Messages []OutboundMessage
-	// Advanced lists the documents that moved to a newer version.
+	// Advanced lists the documents of which a newer version came into force.
 	Advanced []Doc
-	// MembersChanged asks for the overlay to be computed anew.
+	// MembersChanged reports that the overlay must be recomputed.
 	MembersChanged bool
-	// Flush asks for a call of Engine.Flush after a short while.
+	// Flush requests a call of Engine.Flush after a short delay.
 	Flush bool
-	// StatusResults holds finished queries that were asked at this node.
+	// StatusResults holds the results of finished queries that were started at this node.
 	StatusResults []StatusResult
-	// Errors are defects of messages, for a counter and the log.
+	// Errors are errors of received messages and documents, for a counter and the log.
 	Errors []error
 }
 
-func (fx *Actions) send(to string, c Cause, m *Message) {
-	fx.Messages = append(fx.Messages, OutboundMessage{To: to, Msg: m, Cause: c})
+func (actions *Actions) addMessage(to string, c Cause, m *Message) {
+	actions.Messages = append(actions.Messages, OutboundMessage{To: to, Msg: m, Cause: c})
 }
 
-func (fx *Actions) fail(err error) {
+func (actions *Actions) addError(err error) {
 	if err != nil {
-		fx.Errors = append(fx.Errors, err)
+		actions.Errors = append(actions.Errors, err)
 	}
 }
--- a/internal/distribution/bench_test.go
+++ b/internal/distribution/bench_test.go
@@ -15,8 +15,8 @@
 	"github.com/walldrift/walldrift/internal/standin"
 )
 
-// BenchmarkHeap gives the heap of one node's table and members at several
-// fleet sizes, and the bytes of a join, for docs/CAPACITY.md.
+// BenchmarkHeap reports the heap of one node's table and members at several fleet sizes,
+// and the bytes of a join, for docs/CAPACITY.md.
 func BenchmarkHeap(b *testing.B) {
 	for _, n := range []int{13, 190, 575, 1150, 2300} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/internal/distribution/engine_test.go
+++ b/internal/distribution/engine_test.go
@@ -16,7 +16,8 @@
 	"github.com/walldrift/walldrift/internal/version"
 )
 
-// A test document is "EDITION\nbody"; a body with "bad" in it is refused.
+// document returns a test document, "EDITION\nbody"; checkDocument rejects a body that
+// contains "bad".
 func document(edition int, body string) []byte { return []byte(fmt.Sprintf("%d\n%s", edition, body)) }
 
 func checkDocument(raw []byte) (version.ID, error) {
@@ -29,21 +30,22 @@
 	return id, nil
 }
 
-// node is one engine with what the oracle needs.
+// simNode is one engine with the version that the test's check committed.
 type simNode struct {
 	*Engine
-	held version.ID // highest seen in force since the start
+	held version.ID // last version committed since the start
 }
 
-// sim is a fleet in one thread: engines, and a queue for each directed link.
+// sim is a fleet of engines in one goroutine, with a message queue for each directed
+// link.
 type sim struct {
 	now       time.Time
 	names     []string
 	nodes     map[string]*simNode
 	queues    map[[2]string][]*Message
-	up        map[[2]string]bool // by ordered pair
+	up        map[[2]string]bool // keyed by ordered pair
 	published [][]byte           // every value the platform ever held
-	accepted  version.ID         // highest version put in force anywhere
+	accepted  version.ID         // highest version in force on any node
 }
 
 func newSim(n int) *sim {
@@ -58,7 +60,7 @@
 		s.start(name)
 	}
 	for i := range s.names {
-		s.link(s.names[i], s.names[(i+1)%n])
+		s.connect(s.names[i], s.names[(i+1)%n])
 	}
 	return s
 }
@@ -73,7 +75,7 @@
 	s.nodes[name] = n
 }
 
-// sortedPairs makes the order of a map the same in every run.
+// sortedPairs makes the iteration order of a map the same in every run.
 func sortedPairs[V any](m map[[2]string]V) [][2]string {
 	return slices.SortedFunc(maps.Keys(m), func(a, b [2]string) int { return slices.Compare(a[:], b[:]) })
 }
@@ -85,32 +87,32 @@
 	return [2]string{a, b}
 }
 
-func (s *sim) link(a, b string) {
+func (s *sim) connect(a, b string) {
 	if a == b || s.up[ordered(a, b)] {
 		return
 	}
 	s.up[ordered(a, b)] = true
-	s.carry(a, s.nodes[a].LinkUp(s.now, b))
-	s.carry(b, s.nodes[b].LinkUp(s.now, a))
+	s.execute(a, s.nodes[a].LinkUp(s.now, b))
+	s.execute(b, s.nodes[b].LinkUp(s.now, a))
 }
 
-func (s *sim) cut(a, b string) {
+func (s *sim) disconnect(a, b string) {
 	if !s.up[ordered(a, b)] {
 		return
 	}
 	delete(s.up, ordered(a, b))
 	delete(s.queues, [2]string{a, b})
 	delete(s.queues, [2]string{b, a})
-	s.carry(a, s.nodes[a].LinkDown(s.now, b, true))
-	s.carry(b, s.nodes[b].LinkDown(s.now, a, true))
+	s.execute(a, s.nodes[a].LinkDown(s.now, b, true))
+	s.execute(b, s.nodes[b].LinkDown(s.now, a, true))
 }
 
-// carry queues the messages of effects, through the codec.
-func (s *sim) carry(from string, fx Actions) {
-	if fx.Flush {
-		fx.Messages = append(fx.Messages, s.nodes[from].Flush().Messages...)
+// execute encodes, decodes and queues the messages of actions.
+func (s *sim) execute(from string, actions Actions) {
+	if actions.Flush {
+		actions.Messages = append(actions.Messages, s.nodes[from].Flush().Messages...)
 	}
-	for _, send := range fx.Messages {
+	for _, send := range actions.Messages {
 		if !s.up[ordered(from, send.To)] {
 			continue
 		}
@@ -140,16 +142,16 @@
 		return
 	}
 	s.queues[key] = q[1:]
-	s.carry(key[1], s.nodes[key[1]].Receive(s.now, key[0], q[0]))
+	s.execute(key[1], s.nodes[key[1]].Receive(s.now, key[0], q[0]))
 }
 
-// settle exchanges digests on all links until nothing moves.
+// settle exchanges digests on all links until no message is queued.
 func (s *sim) settle() {
 	for range 6 {
 		s.now = s.now.Add(wantTimeout)
 		for _, pair := range sortedPairs(s.up) {
-			s.carry(pair[0], s.nodes[pair[0]].DigestTo(s.now, pair[1]))
-			s.carry(pair[1], s.nodes[pair[1]].DigestTo(s.now, pair[0]))
+			s.execute(pair[0], s.nodes[pair[0]].DigestTo(s.now, pair[1]))
+			s.execute(pair[1], s.nodes[pair[1]].DigestTo(s.now, pair[0]))
 		}
 		for moved := true; moved; {
 			moved = false
@@ -163,11 +165,11 @@
 	}
 }
 
-// TestVersionsUnderFaults drives a fleet of engines with racing operators,
-// stale platform reads, cuts, restarts and pauses, all overlapping. Oracle: a
-// node's version never goes back, a refused document or one that nobody
-// published is never in force, and once links are whole all nodes hold the highest version that was ever in
-// force on a node still alive, or higher.
+// TestVersionsUnderFaults drives a fleet of engines with concurrent edits, stale platform
+// reads, lost links, restarts and pauses, all overlapping. It checks that a node's
+// version never goes back, that a document that was rejected or never published is never
+// in force, and that once the links are restored all nodes hold the highest version in
+// force on any node.
 func TestVersionsUnderFaults(t *testing.T) {
 	moves, faults := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -177,21 +179,21 @@
 		before := make(map[string]version.ID)
 		t.Repeat(map[string]func(*rapid.T){
 			"edit": func(t *rapid.T) {
-				// Operators race: editions repeat, fall behind and jump.
+				// Concurrent operators: editions repeat, go back and jump.
 				edition := rapid.IntRange(1, 12).Draw(t, "edition")
 				body := rapid.SampledFrom([]string{"x", "y\nz", "bad", strings.Repeat("long line\n", 1200)}).Draw(t, "body")
 				if rapid.Bool().Draw(t, "rows") {
-					// Rows that change one by one, as cells of a table do.
+					// Rows that change one by one, like the cells of a table.
 					rows := rapid.SliceOfN(rapid.SampledFrom([]string{"a", "b", "c"}), 5, 5).Draw(t, "row")
 					body = strings.Join(rows, "\n")
 				}
 				s.published = append(s.published, document(edition, body))
 			},
 			"read": func(t *rapid.T) {
-				// A stale replica answers with any value ever published.
+				// A stale replica of the platform returns any value ever published.
 				raw := rapid.SampledFrom(s.published).Draw(t, "value")
 				n := name.Draw(t, "node")
-				s.carry(n, s.nodes[n].Publish(s.now, DocTable, raw))
+				s.execute(n, s.nodes[n].Publish(s.now, DocTable, raw))
 			},
 			"deliver": func(t *rapid.T) {
 				from, to := name.Draw(t, "from"), name.Draw(t, "to")
@@ -200,16 +202,16 @@
 			"digest": func(t *rapid.T) {
 				a, b := name.Draw(t, "from"), name.Draw(t, "to")
 				if s.up[ordered(a, b)] {
-					s.carry(a, s.nodes[a].DigestTo(s.now, b))
+					s.execute(a, s.nodes[a].DigestTo(s.now, b))
 				}
 			},
-			"cut":  func(t *rapid.T) { faults++; s.cut(name.Draw(t, "a"), name.Draw(t, "b")) },
-			"link": func(t *rapid.T) { s.link(name.Draw(t, "a"), name.Draw(t, "b")) },
+			"cut":  func(t *rapid.T) { faults++; s.disconnect(name.Draw(t, "a"), name.Draw(t, "b")) },
+			"link": func(t *rapid.T) { s.connect(name.Draw(t, "a"), name.Draw(t, "b")) },
 			"restart": func(t *rapid.T) {
 				faults++
 				n := name.Draw(t, "node")
 				for _, other := range s.names {
-					s.cut(n, other)
+					s.disconnect(n, other)
 				}
 				s.start(n)
 				delete(before, n)
@@ -218,19 +220,19 @@
 				faults++
 				s.now = s.now.Add(time.Duration(rapid.IntRange(1, 10000).Draw(t, "ms")) * time.Millisecond)
 				n := name.Draw(t, "node")
-				s.carry(n, s.nodes[n].RequestDigests(s.now))
+				s.execute(n, s.nodes[n].RequestDigests(s.now))
 			},
 			"": func(t *rapid.T) {
 				moves++
 				for _, n := range s.names {
 					node := s.nodes[n]
 					assert.Equal(t, node.held, node.Held(DocTable))
-					assert.Assert(t, !before[n].Newer(node.held), "%s went back from %v to %v", n, before[n], node.held)
+					assert.Assert(t, !before[n].Newer(node.held), "%s: version went back from %v to %v", n, before[n], node.held)
 					if !node.held.IsZero() {
 						id, err := checkDocument(node.docs[DocTable].raw)
 						assert.NilError(t, err)
 						assert.Equal(t, id, node.held)
-						assert.Assert(t, s.wasPublished(node.docs[DocTable].raw), "%s holds what nobody published", n)
+						assert.Assert(t, s.wasPublished(node.docs[DocTable].raw), "%s holds a document that was never published", n)
 					}
 					before[n] = node.held
 				}
@@ -243,7 +245,7 @@
 			}
 		}
 		for i := range s.names {
-			s.link(s.names[i], s.names[(i+1)%len(s.names)])
+			s.connect(s.names[i], s.names[(i+1)%len(s.names)])
 		}
 		s.settle()
 		for _, n := range s.names {
@@ -253,33 +255,33 @@
 	t.Logf("%d moves, %d faults", moves, faults)
 }
 
-func TestGapIsFilledByKeptSteps(t *testing.T) {
+func TestGapIsFilledByKeptDeltas(t *testing.T) {
 	s := newSim(2)
 	a, b := s.names[0], s.names[1]
-	s.carry(a, s.nodes[a].Publish(s.now, DocTable, document(1, "one")))
+	s.execute(a, s.nodes[a].Publish(s.now, DocTable, document(1, "one")))
 	s.settle()
-	s.cut(a, b)
+	s.disconnect(a, b)
 	for e := 2; e <= 5; e++ {
-		s.carry(a, s.nodes[a].Publish(s.now, DocTable, document(e, strings.Repeat("row\n", e))))
+		s.execute(a, s.nodes[a].Publish(s.now, DocTable, document(e, strings.Repeat("row\n", e))))
 	}
-	updates := s.nodes[a].docs[DocTable].answer(s.nodes[b].held)
-	assert.Equal(t, len(updates), 4, "want the four missed steps, not the whole document")
-	s.link(a, b)
+	updates := s.nodes[a].docs[DocTable].updatesSince(s.nodes[b].held)
+	assert.Equal(t, len(updates), 4, "want the four missed deltas, not the full document")
+	s.connect(a, b)
 	s.settle()
 	assert.Equal(t, s.nodes[b].held.Edition, uint64(5))
 }
 
-// A delta that starts from another version than the held one is not applied;
-// the whole difference is asked for.
+// A delta relative to another version than the held one is not applied; the missing
+// versions are requested.
 func TestSplicesOfAnotherBaseAreNotApplied(t *testing.T) {
 	s := newSim(3)
 	a, b := s.names[0], s.names[1]
-	s.carry(a, s.nodes[a].Publish(s.now, DocTable, document(1, "r\nr\nr\nr")))
+	s.execute(a, s.nodes[a].Publish(s.now, DocTable, document(1, "r\nr\nr\nr")))
 	s.settle()
 	s.nodes[a].Publish(s.now, DocTable, document(2, "r\nX\nr\nr")) // its pushes are lost
 	third := document(3, "r\nr\nr\nY")
-	fx := s.nodes[b].Publish(s.now, DocTable, third)
-	for _, send := range fx.Messages {
+	actions := s.nodes[b].Publish(s.now, DocTable, third)
+	for _, send := range actions.Messages {
 		if send.To != a {
 			continue
 		}
@@ -287,38 +289,38 @@
 		answer := s.nodes[a].Receive(s.now, b, send.Msg)
 		assert.Equal(t, len(answer.Advanced), 0)
 		assert.Equal(t, s.nodes[a].held.Edition, uint64(2))
-		s.carry(a, answer)
+		s.execute(a, answer)
 	}
 	s.settle()
 	assert.Equal(t, string(s.nodes[a].docs[DocTable].raw), string(third))
 }
 
-func TestNewNodeGetsWholeDocumentFromPeer(t *testing.T) {
+func TestNewNodeGetsFullDocumentFromPeer(t *testing.T) {
 	s := newSim(2)
 	a, b := s.names[0], s.names[1]
-	s.carry(a, s.nodes[a].Publish(s.now, DocTable, document(3, strings.Repeat("row\n", 4000))))
+	s.execute(a, s.nodes[a].Publish(s.now, DocTable, document(3, strings.Repeat("row\n", 4000))))
 	s.settle()
 	assert.Equal(t, s.nodes[b].held, s.nodes[a].held)
 	assert.Equal(t, s.nodes[b].Status(s.now).From, a)
 }
 
-func TestRefusedVersionIsShownAndNotAskedForAgain(t *testing.T) {
+func TestRejectedVersionIsShownAndNotRequestedAgain(t *testing.T) {
 	s := newSim(1)
 	n := s.nodes[s.names[0]]
 	n.Publish(s.now, DocTable, document(1, "good"))
-	fx := n.Publish(s.now, DocTable, document(2, "bad"))
-	assert.Equal(t, len(fx.Errors), 1)
+	actions := n.Publish(s.now, DocTable, document(2, "bad"))
+	assert.Equal(t, len(actions.Errors), 1)
 	assert.Equal(t, n.held.Edition, uint64(1))
 	assert.Assert(t, strings.HasPrefix(n.Status(s.now).Refused, "2-"))
 	n.Publish(s.now, DocTable, document(3, "good again"))
 	assert.Equal(t, n.Status(s.now).Refused, "")
 }
 
-func TestSurveyReachesEveryNodeOnce(t *testing.T) {
+func TestStatusQueryReachesEveryNodeOnce(t *testing.T) {
 	s := newSim(6)
-	s.link(s.names[0], s.names[3]) // a second way
+	s.connect(s.names[0], s.names[3]) // a second path
 	s.settle()
-	s.carry(s.names[0], s.nodes[s.names[0]].StartStatusQuery(s.now, 42))
+	s.execute(s.names[0], s.nodes[s.names[0]].StartStatusQuery(s.now, 42))
 	var got []NodeStatus
 	for range 100 {
 		for _, key := range sortedPairs(s.queues) {
@@ -327,34 +329,34 @@
 				continue
 			}
 			s.queues[key] = q[1:]
-			fx := s.nodes[key[1]].Receive(s.now, key[0], q[0])
-			for _, sv := range fx.StatusResults {
-				got = sv.Nodes
+			actions := s.nodes[key[1]].Receive(s.now, key[0], q[0])
+			for _, result := range actions.StatusResults {
+				got = result.Nodes
 			}
-			s.carry(key[1], fx)
+			s.execute(key[1], actions)
 		}
 	}
 	assert.Equal(t, len(got), 6)
 }
 
-// A herd of joins is passed on in one message a link.
-func TestHerdOfRumorsIsGathered(t *testing.T) {
+// A burst of joins is forwarded in one message per link.
+func TestBurstOfRumorsIsBatched(t *testing.T) {
 	s := newSim(3)
 	s.settle()
 	n := s.nodes[s.names[0]]
 	flushes := 0
 	for i := range 500 {
 		in := membership.Instance{Name: fmt.Sprintf("new%d", i), DataCentre: "dc", Region: "r", Generation: 1}
-		fx := n.Receive(s.now, s.names[1], &Message{Rumors: []membership.Rumor{{Name: in.Name, Incarnation: 1, Instance: &in}}})
-		assert.Equal(t, len(fx.Messages), 0)
-		if fx.Flush {
+		actions := n.Receive(s.now, s.names[1], &Message{Rumors: []membership.Rumor{{Name: in.Name, Incarnation: 1, Instance: &in}}})
+		assert.Equal(t, len(actions.Messages), 0)
+		if actions.Flush {
 			flushes++
 		}
 	}
 	assert.Equal(t, flushes, 1)
-	fx := n.Flush()
-	assert.Equal(t, len(fx.Messages), 1, "not back to where they came from")
-	assert.Equal(t, len(fx.Messages[0].Msg.Rumors), 500)
+	actions := n.Flush()
+	assert.Equal(t, len(actions.Messages), 1, "rumors must not go back to their sender")
+	assert.Equal(t, len(actions.Messages[0].Msg.Rumors), 500)
 	assert.Equal(t, len(n.Flush().Messages), 0)
 }
 
@@ -368,7 +370,7 @@
 	assert.Assert(t, n.ShouldRead(s.now.Add(n.cfg.TakeoverAge+4*n.cfg.TakeoverStep)))
 }
 
-// FuzzDecode shows that no bytes of a peer make a node panic.
+// FuzzDecode checks that no message of a peer makes a node panic.
 func FuzzDecode(f *testing.F) {
 	b, _ := Encode(&Message{Digest: &Digest{}, Wants: []Want{{Doc: 9}}})
 	f.Add(b)
--- a/internal/distribution/links.go
+++ b/internal/distribution/links.go
@@ -12,51 +12,53 @@
 
 // Bounds and timing of links.
 const (
-	maxLinks       = 64  // links of one node; more are refused
-	sendQueueLen   = 256 // messages waiting on one link; a full queue closes it
-	dialTimeout    = 4 * time.Second
-	dialBase       = 250 * time.Millisecond
-	dialCap        = 10 * time.Second
-	failuresDoubt  = 2 // failed dials in a row before a same-centre peer is suspected
-	surplusGrace   = 10 * time.Second
-	overlayRefresh = 5 * time.Second
+	maxLinks        = 64  // links of one node; further ones are refused
+	sendQueueLength = 256 // messages queued on one link; a full queue closes the link
+	dialTimeout     = 4 * time.Second
+	dialBackoffBase = 250 * time.Millisecond
+	dialBackoffMax  = 10 * time.Second
+	// failuresBeforeSuspicion is the number of consecutive failed dials after which a
+	// peer in the same data centre is suspected.
+	failuresBeforeSuspicion = 2
+	surplusGrace            = 10 * time.Second
+	overlayRefresh          = 5 * time.Second
 )
 
-// activeLink is a link with its writer.
+// activeLink is an open link with its send queue.
 type activeLink struct {
 	Link
-	queue      chan OutboundMessage
-	nextDigest time.Time
-	surplus    time.Time // since when no slot wants this link; zero if one does
+	queue        chan OutboundMessage
+	nextDigest   time.Time
+	surplusSince time.Time // since when no slot needs this link; zero if one does
 }
 
-// slotState is one slot of the overlay with its dialling.
+// slotState is the dial state of one desired link of the overlay.
 type slotState struct {
-	slot    membership.DesiredLink
-	dialing bool
-	next    time.Time
-	backoff platform.Backoff
-	turn    int // candidate to dial next
-	fails   int
+	slot          membership.DesiredLink
+	dialing       bool
+	nextDial      time.Time
+	backoff       platform.Backoff
+	nextCandidate int // index of the candidate to dial next
+	failures      int
 }
 
-// linkSet keeps the links that the overlay asks for. Its methods run in the
-// service loop.
+// linkSet maintains the links that the overlay requires. Its methods run in the service
+// loop.
 type linkSet struct {
-	s            *Service
-	active       map[string]*activeLink
-	slots        map[string]*slotState // by the slot's first candidate
-	overlayStale bool
-	computed     time.Time
-	retired      WireTraffic // bytes of links that have ended
+	service         *Service
+	active          map[string]*activeLink
+	slots           map[string]*slotState // keyed by the slot's first candidate
+	overlayStale    bool
+	overlayComputed time.Time
+	closedBytes     WireTraffic // bytes of links that have ended
 }
 
 func newLinkSet(s *Service) *linkSet {
-	return &linkSet{s: s, active: make(map[string]*activeLink), slots: make(map[string]*slotState), overlayStale: true}
+	return &linkSet{service: s, active: make(map[string]*activeLink), slots: make(map[string]*slotState), overlayStale: true}
 }
 
-// send queues a message; a link whose queue is full is closed, and healed by
-// the digest of the next one.
+// send queues a message. A link whose queue is full is closed; the digest on its
+// successor repairs the loss.
 func (ls *linkSet) send(m OutboundMessage) {
 	l, ok := ls.active[m.To]
 	if !ok {
@@ -65,49 +67,48 @@
 	select {
 	case l.queue <- m:
 	default:
-		ls.s.metrics.Counter("link_overflows").Inc(1)
+		ls.service.metrics.Counter("link_overflows").Inc(1)
 		l.Close("send queue is full")
 	}
 }
 
-// maintain sends digests that are due, computes the overlay anew and dials
-// what is missing.
+// maintain sends due digests, recomputes the overlay and dials missing links.
 func (ls *linkSet) maintain(now time.Time) {
 	for peer, l := range ls.active {
 		if !now.Before(l.nextDigest) {
-			l.nextDigest = now.Add(ls.jittered(ls.s.cfg.Engine.DigestInterval))
-			ls.s.carryOut(ls.s.engine.DigestTo(now, peer))
+			l.nextDigest = now.Add(ls.jittered(ls.service.cfg.Engine.DigestInterval))
+			ls.service.execute(ls.service.engine.DigestTo(now, peer))
 		}
 	}
-	if ls.overlayStale || now.Sub(ls.computed) > overlayRefresh {
-		ls.recompute(now)
+	if ls.overlayStale || now.Sub(ls.overlayComputed) > overlayRefresh {
+		ls.recomputeOverlay(now)
 	}
 	for _, st := range ls.slots {
-		if !st.dialing && !now.Before(st.next) && !ls.satisfied(st.slot) {
+		if !st.dialing && !now.Before(st.nextDial) && !ls.hasLink(st.slot) {
 			ls.dialSlot(st)
 		}
 	}
 	ls.closeSurplus(now)
 }
 
-// jittered spreads an interval from three to five quarters of itself.
+// jittered returns a random duration between 3/4 and 5/4 of d.
 func (ls *linkSet) jittered(d time.Duration) time.Duration {
-	return d*3/4 + time.Duration(ls.s.rnd.Int64N(int64(d)/2+1))
+	return d*3/4 + time.Duration(ls.service.rnd.Int64N(int64(d)/2+1))
 }
 
-func (ls *linkSet) recompute(now time.Time) {
-	ls.overlayStale, ls.computed = false, now
-	members := ls.s.engine.View.Members(now)
-	ls.s.engine.UpdateReaderRank(members)
-	wanted := membership.Overlay(ls.s.cfg.Self, members)
+func (ls *linkSet) recomputeOverlay(now time.Time) {
+	ls.overlayStale, ls.overlayComputed = false, now
+	members := ls.service.engine.View.Members(now)
+	ls.service.engine.UpdateReaderRank(members)
+	wanted := membership.Overlay(ls.service.cfg.Self, members)
 	next := make(map[string]*slotState, len(wanted))
 	for _, slot := range wanted {
 		key := slot.Candidates[0]
 		st, ok := ls.slots[key]
 		if !ok {
-			st = &slotState{backoff: platform.Backoff{Base: dialBase, Cap: dialCap}}
+			st = &slotState{backoff: platform.Backoff{Base: dialBackoffBase, Cap: dialBackoffMax}}
 			// Nodes that start together spread their first handshakes.
-			st.next = now.Add(time.Duration(ls.s.rnd.Int64N(int64(dialBase))))
+			st.nextDial = now.Add(time.Duration(ls.service.rnd.Int64N(int64(dialBackoffBase))))
 		}
 		st.slot = slot
 		next[key] = st
@@ -115,32 +116,33 @@
 	ls.slots = next
 }
 
-// alone reports whether the list shows nobody else.
-func (ls *linkSet) alone() bool {
-	return len(ls.slots) == 0 && len(ls.active) == 0 && ls.s.engine.View.Len() == 1 && !ls.s.engine.Held(DocList).IsZero()
+// isOnlyMember reports whether the instance list holds no other node.
+func (ls *linkSet) isOnlyMember() bool {
+	return len(ls.slots) == 0 && len(ls.active) == 0 && ls.service.engine.View.Len() == 1 && !ls.service.engine.Held(DocList).IsZero()
 }
 
-func (ls *linkSet) satisfied(slot membership.DesiredLink) bool {
+func (ls *linkSet) hasLink(slot membership.DesiredLink) bool {
 	return slices.ContainsFunc(slot.Candidates, func(name string) bool { return ls.active[name] != nil })
 }
 
-// closeSurplus ends dialled links that no slot has wanted for a while.
+// closeSurplus closes the links dialled by this node that no slot has needed for
+// surplusGrace.
 func (ls *linkSet) closeSurplus(now time.Time) {
 	for peer, l := range ls.active {
-		if !l.Dialled() || ls.wants(peer) {
-			l.surplus = time.Time{}
+		if !l.Dialled() || ls.isWanted(peer) {
+			l.surplusSince = time.Time{}
 			continue
 		}
-		if l.surplus.IsZero() {
-			l.surplus = now
+		if l.surplusSince.IsZero() {
+			l.surplusSince = now
 		}
-		if now.Sub(l.surplus) > surplusGrace {
+		if now.Sub(l.surplusSince) > surplusGrace {
 			l.Close("not in the overlay")
 		}
 	}
 }
 
-func (ls *linkSet) wants(peer string) bool {
+func (ls *linkSet) isWanted(peer string) bool {
 	for _, st := range ls.slots {
 		if slices.Contains(st.slot.Candidates, peer) {
 			return true
@@ -150,33 +152,33 @@
 }
 
 func (ls *linkSet) dialSlot(st *slotState) {
-	name := st.slot.Candidates[st.turn%len(st.slot.Candidates)]
+	name := st.slot.Candidates[st.nextCandidate%len(st.slot.Candidates)]
 	addr, ok := ls.address(name)
 	if !ok {
-		st.turn++
+		st.nextCandidate++
 		return
 	}
 	st.dialing = true
 	ls.dial(name, addr, func(now time.Time, err error) Actions {
 		st.dialing = false
 		if err == nil {
-			st.fails = 0
+			st.failures = 0
 			st.backoff.Reset()
 			return Actions{}
 		}
-		ls.s.metrics.Counter("dial_failures").Inc(1)
-		st.next = now.Add(st.backoff.Next(ls.s.rnd))
-		st.turn++
-		st.fails++
-		if st.slot.Local && st.fails >= failuresDoubt {
-			return ls.s.engine.LinkDown(now, name, true)
+		ls.service.metrics.Counter("dial_failures").Inc(1)
+		st.nextDial = now.Add(st.backoff.Next(ls.service.rnd))
+		st.nextCandidate++
+		st.failures++
+		if st.slot.Local && st.failures >= failuresBeforeSuspicion {
+			return ls.service.engine.LinkDown(now, name, true)
 		}
 		return Actions{}
 	})
 }
 
 func (ls *linkSet) address(name string) (netip.AddrPort, bool) {
-	for _, m := range ls.s.Members() {
+	for _, m := range ls.service.Members() {
 		if m.Name == name {
 			return m.Peer, true
 		}
@@ -184,18 +186,18 @@
 	return netip.AddrPort{}, false
 }
 
-// dialSeeds opens a link to each seed once.
+// dialSeeds dials each seed once.
 func (ls *linkSet) dialSeeds() {
-	for _, seed := range ls.s.cfg.Seeds {
-		if seed.Name != ls.s.cfg.Self.Name {
+	for _, seed := range ls.service.cfg.Seeds {
+		if seed.Name != ls.service.cfg.Self.Name {
 			ls.dial(seed.Name, seed.Addr, func(time.Time, error) Actions { return Actions{} })
 		}
 	}
 }
 
-// dial opens a link in the background and reports in the loop.
+// dial opens a link in the background and reports the result in the service loop.
 func (ls *linkSet) dial(name string, addr netip.AddrPort, done func(time.Time, error) Actions) {
-	s := ls.s
+	s := ls.service
 	s.group.Go(func() {
 		ctx, cancel := context.WithTimeout(s.ctx, dialTimeout)
 		defer cancel()
@@ -209,55 +211,55 @@
 	})
 }
 
-// add takes a new link into use. Of two links to one peer both sides keep the
-// same: the one that the lesser name dialled, or the newer of two in the same
+// add puts a new link into use. Of two links between the same peers, both sides keep the
+// same one: the one dialled by the lesser name, or the newer of two in the same
 // direction.
 func (ls *linkSet) add(now time.Time, l Link) {
 	peer := l.Peer()
 	if old := ls.active[peer]; old != nil {
-		lesser := ls.s.cfg.Self.Name < peer
+		lesser := ls.service.cfg.Self.Name < peer
 		if old.Dialled() != l.Dialled() && old.Dialled() == lesser {
 			l.Close("second link")
 			return
 		}
 		ls.remove(now, old, "replaced", false)
 	}
-	if len(ls.active) >= maxLinks || peer == ls.s.cfg.Self.Name {
+	if len(ls.active) >= maxLinks || peer == ls.service.cfg.Self.Name {
 		l.Close("no room")
 		return
 	}
-	al := &activeLink{Link: l, queue: make(chan OutboundMessage, sendQueueLen)}
-	al.nextDigest = now.Add(ls.jittered(ls.s.cfg.Engine.DigestInterval))
+	al := &activeLink{Link: l, queue: make(chan OutboundMessage, sendQueueLength)}
+	al.nextDigest = now.Add(ls.jittered(ls.service.cfg.Engine.DigestInterval))
 	ls.active[peer] = al
-	ls.s.group.Go(func() { ls.write(al) })
-	ls.s.group.Go(func() { ls.read(al) })
-	ls.s.carryOut(ls.s.engine.LinkUp(now, peer))
+	ls.service.group.Go(func() { ls.writeLoop(al) })
+	ls.service.group.Go(func() { ls.readLoop(al) })
+	ls.service.execute(ls.service.engine.LinkUp(now, peer))
 }
 
-// remove takes a link out of use, if it still is the one in use.
-func (ls *linkSet) remove(now time.Time, l *activeLink, reason string, doubt bool) {
+// remove removes a link, unless it has been replaced already.
+func (ls *linkSet) remove(now time.Time, l *activeLink, reason string, suspect bool) {
 	if ls.active[l.Peer()] != l {
 		return
 	}
 	delete(ls.active, l.Peer())
 	sent, received := l.WireBytes()
-	ls.retired.Sent += sent
-	ls.retired.Received += received
+	ls.closedBytes.Sent += sent
+	ls.closedBytes.Received += received
 	close(l.queue)
 	l.Close(reason)
-	ls.s.carryOut(ls.s.engine.LinkDown(now, l.Peer(), doubt && ls.sameCentre(l.Peer())))
+	ls.service.execute(ls.service.engine.LinkDown(now, l.Peer(), suspect && ls.sameCentre(l.Peer())))
 }
 
 func (ls *linkSet) sameCentre(peer string) bool {
-	for _, m := range ls.s.Members() {
+	for _, m := range ls.service.Members() {
 		if m.Name == peer {
-			return m.DataCentre == ls.s.cfg.Self.DataCentre
+			return m.DataCentre == ls.service.cfg.Self.DataCentre
 		}
 	}
 	return false
 }
 
-func (ls *linkSet) write(l *activeLink) {
+func (ls *linkSet) writeLoop(l *activeLink) {
 	failed := false
 	for m := range l.queue {
 		if failed {
@@ -272,28 +274,28 @@
 			l.Close("cannot send")
 			continue
 		}
-		ls.s.countSent(m.Cause, len(b))
+		ls.service.countSent(m.Cause, len(b))
 	}
 }
 
-func (ls *linkSet) read(l *activeLink) {
+func (ls *linkSet) readLoop(l *activeLink) {
 	for {
 		b, err := l.Receive()
 		if err != nil {
-			ls.s.post(func(now time.Time) Actions {
+			ls.service.post(func(now time.Time) Actions {
 				ls.remove(now, l, "lost", IsPeerTimeout(err))
 				return Actions{}
 			})
 			return
 		}
 		m, err := Decode(b)
-		ls.s.post(func(now time.Time) Actions {
+		ls.service.post(func(now time.Time) Actions {
 			if err != nil {
-				var fx Actions
-				fx.fail(err)
-				return fx
+				var actions Actions
+				actions.addError(err)
+				return actions
 			}
-			return ls.s.engine.Receive(now, l.Peer(), m)
+			return ls.service.engine.Receive(now, l.Peer(), m)
 		})
 	}
 }
@@ -308,7 +310,7 @@
 
 // wireBytes returns the bytes sent and received on all links so far.
 func (ls *linkSet) wireBytes() WireTraffic {
-	w := ls.retired
+	w := ls.closedBytes
 	for _, l := range ls.active {
 		sent, received := l.WireBytes()
 		w.Sent += sent
--- a/internal/distribution/query_tracker.go
+++ b/internal/distribution/query_tracker.go
@@ -2,93 +2,93 @@
 
 import "time"
 
-// Bounds of the census.
+// Bounds of a status query.
 const (
-	// censusPatience is how long the asking node waits for all answers.
-	censusPatience = 2 * time.Second
-	// censusHop is taken off the patience at each hop, so that a node answers
-	// before the one that asked it gives up.
-	censusHop = 150 * time.Millisecond
-	// maxSurveys bounds the queries in progress at one node; more are answered
-	// empty at once.
-	maxSurveys = 8
+	// statusQueryTimeout is how long the node that starts a query waits for all replies.
+	statusQueryTimeout = 2 * time.Second
+	// statusQueryHopMargin is subtracted from the timeout at each hop, so that a node
+	// replies before its parent stops waiting.
+	statusQueryHopMargin = 150 * time.Millisecond
+	// maxActiveQueries bounds the queries in progress at one node; further ones get an
+	// empty reply at once.
+	maxActiveQueries = 8
 )
 
-// survey is one query in progress at this node.
-type survey struct {
+// activeQuery is a status query in progress at this node.
+type activeQuery struct {
 	id       uint64
-	parent   string // neighbour that asked; empty if asked here
+	parent   string // neighbour that sent the query; empty if started here
 	deadline time.Time
-	waiting  map[string]bool // neighbours that have not answered
+	pending  map[string]bool // neighbours that have not replied
 	nodes    map[string]NodeStatus
 }
 
-// census gathers the status of all nodes over the overlay: the first query
-// seen spreads to the other neighbours, later ones are answered empty.
-type census struct {
-	active map[uint64]*survey
+// queryTracker collects the status of all nodes over the overlay: the first query seen
+// with an ID is forwarded to the other neighbours, duplicates get an empty reply.
+type queryTracker struct {
+	active map[uint64]*activeQuery
 	seen   map[uint64]time.Time
 }
 
-func newCensus() *census {
-	return &census{active: make(map[uint64]*survey), seen: make(map[uint64]time.Time)}
+func newQueryTracker() *queryTracker {
+	return &queryTracker{active: make(map[uint64]*activeQuery), seen: make(map[uint64]time.Time)}
 }
 
-// start begins or joins a query. It returns the neighbours to ask, nil and
-// false if the query is a duplicate or one too many.
-func (c *census) start(now time.Time, q StatusQuery, parent string, neighbours []string, own NodeStatus) (*survey, bool) {
-	if _, twice := c.seen[q.ID]; twice || len(c.active) >= maxSurveys {
+// begin starts a query at this node and records the neighbours to forward it to. It
+// returns nil and false if the query is a duplicate or exceeds maxActiveQueries.
+func (qt *queryTracker) begin(now time.Time, q StatusQuery, parent string, neighbours []string, own NodeStatus) (*activeQuery, bool) {
+	if _, duplicate := qt.seen[q.ID]; duplicate || len(qt.active) >= maxActiveQueries {
 		return nil, false
 	}
-	c.seen[q.ID] = now
-	s := &survey{
+	qt.seen[q.ID] = now
+	query := &activeQuery{
 		id:       q.ID,
 		parent:   parent,
-		deadline: now.Add(min(time.Duration(q.TimeoutMs)*time.Millisecond, censusPatience)),
-		waiting:  make(map[string]bool),
+		deadline: now.Add(min(time.Duration(q.TimeoutMs)*time.Millisecond, statusQueryTimeout)),
+		pending:  make(map[string]bool),
 		nodes:    map[string]NodeStatus{own.Name: own},
 	}
 	for _, n := range neighbours {
 		if n != parent {
-			s.waiting[n] = true
+			query.pending[n] = true
 		}
 	}
-	c.active[q.ID] = s
-	return s, true
+	qt.active[q.ID] = query
+	return query, true
 }
 
-// answer takes in a reply.
-func (c *census) answer(from string, r StatusReply) {
-	s, ok := c.active[r.ID]
-	if !ok || !s.waiting[from] {
+// addReply adds the reply of a neighbour.
+func (qt *queryTracker) addReply(from string, r StatusReply) {
+	query, ok := qt.active[r.ID]
+	if !ok || !query.pending[from] {
 		return
 	}
-	delete(s.waiting, from)
+	delete(query.pending, from)
 	for _, n := range r.Nodes {
-		s.nodes[n.Name] = n
+		query.nodes[n.Name] = n
 	}
 }
 
-// lost notes that a neighbour will not answer.
-func (c *census) lost(peer string) {
-	for _, s := range c.active {
-		delete(s.waiting, peer)
+// neighbourLost stops waiting for a neighbour whose link has ended.
+func (qt *queryTracker) neighbourLost(peer string) {
+	for _, query := range qt.active {
+		delete(query.pending, peer)
 	}
 }
 
-// finished removes and returns the surveys that have all answers or whose
-// time is up, and forgets old query IDs.
-func (c *census) finished(now time.Time) []*survey {
-	var out []*survey
-	for id, s := range c.active {
-		if len(s.waiting) == 0 || !now.Before(s.deadline) {
-			out = append(out, s)
-			delete(c.active, id)
+// takeFinished removes and returns the queries that have all replies or whose deadline
+// has passed, and forgets the IDs of old queries.
+func (qt *queryTracker) takeFinished(now time.Time) []*activeQuery {
+	var out []*activeQuery
+	for id, query := range qt.active {
+		if len(query.pending) == 0 || !now.Before(query.deadline) {
+			out = append(out, query)
+			delete(qt.active, id)
 		}
 	}
-	for id, at := range c.seen {
-		if now.Sub(at) > 4*censusPatience {
-			delete(c.seen, id)
+	for id, at := range qt.seen {
+		if now.Sub(at) > 4*statusQueryTimeout {
+			delete(qt.seen, id)
 		}
 	}
 	return out
--- a/internal/distribution/reader.go
+++ b/internal/distribution/reader.go
@@ -10,30 +10,30 @@
 
 // Timing of the platform readers.
 const (
-	readBase = time.Second
-	readCap  = 30 * time.Second
-	// rankPoll is how often a node that is not a reader looks whether it has
+	readBackoffBase = time.Second
+	readBackoffMax  = 30 * time.Second
+	// readerCheckInterval is how often a node that is not a reader checks whether it has
 	// become one.
-	rankPoll = 500 * time.Millisecond
-	// seedPatience is how long a starting node waits for its seeds before it
-	// asks the platform.
-	seedPatience = 3 * time.Second
+	readerCheckInterval = 500 * time.Millisecond
+	// seedTimeout is how long a starting node waits for its seeds before it reads the
+	// platform.
+	seedTimeout = 3 * time.Second
 )
 
-// readLoop reads one document from the platform while this node is a reader.
-// Without a list a node cannot know whether it is one; it then reads the list
-// once, at a random time within ReadSpread.
-func (s *Service) readLoop(ctx context.Context, doc Doc, key string) {
+// readPlatform reads one document from the platform while this node is a reader. Without
+// an instance list a node can't know whether it is one; it then reads the list once, at a
+// random time within ReadSpread.
+func (s *Service) readPlatform(ctx context.Context, doc Doc, key string) {
 	rnd := rand.New(rand.NewPCG(s.cfg.Self.Generation, uint64(doc)+1))
-	backoff := platform.Backoff{Base: readBase, Cap: readCap}
-	if !s.awaitFirst(ctx, doc, rnd) {
+	backoff := platform.Backoff{Base: readBackoffBase, Cap: readBackoffMax}
+	if !s.awaitFirstRead(ctx, doc, rnd) {
 		return
 	}
 	var index uint64
 	for ctx.Err() == nil {
 		if !s.mayRead(ctx, doc) {
 			index = 0
-			sleep(ctx, rankPoll)
+			sleep(ctx, readerCheckInterval)
 			continue
 		}
 		next, err := s.readOnce(ctx, doc, key, index)
@@ -47,13 +47,13 @@
 	}
 }
 
-// awaitFirst waits until the first read is due: for the list, the seeds'
-// patience and a random part of ReadSpread, unless a list comes from a peer
-// sooner; for the table, until there is a list.
-func (s *Service) awaitFirst(ctx context.Context, doc Doc, rnd *rand.Rand) bool {
+// awaitFirstRead waits until the first read is due. The list is read after seedTimeout,
+// if there are seeds, and a random part of ReadSpread, unless a peer sends one sooner;
+// the table is read once there is a list.
+func (s *Service) awaitFirstRead(ctx context.Context, doc Doc, rnd *rand.Rand) bool {
 	limit := time.Duration(rnd.Int64N(int64(s.cfg.ReadSpread) + 1))
 	if s.hasOtherSeeds() {
-		limit += seedPatience
+		limit += seedTimeout
 	}
 	start := time.Now()
 	for ctx.Err() == nil {
@@ -71,23 +71,23 @@
 func (s *Service) hasOtherSeeds() bool {
 	for _, seed := range s.cfg.Seeds {
 		if seed.Name == s.cfg.Self.Name {
-			return false // a seed itself starts from the platform
+			return false // a seed starts from the platform
 		}
 	}
 	return len(s.cfg.Seeds) > 0
 }
 
-// mayRead asks the engine whether this node reads now.
+// mayRead reports whether this node may read the document now.
 func (s *Service) mayRead(ctx context.Context, doc Doc) bool {
-	ok, _ := ask(ctx, s, func(now time.Time) bool {
-		first := doc == DocList && s.engine.Held(DocList).IsZero()
-		return s.engine.ShouldRead(now) || first
+	ok, _ := callInLoop(ctx, s, func(now time.Time) bool {
+		firstRead := doc == DocList && s.engine.Held(DocList).IsZero()
+		return s.engine.ShouldRead(now) || firstRead
 	})
 	return ok
 }
 
-// readOnce makes one call to the platform and hands the result to the engine.
-// It returns the index to watch from.
+// readOnce makes one call to the platform and passes the result to the engine. It returns
+// the index for the next watch.
 func (s *Service) readOnce(ctx context.Context, doc Doc, key string, index uint64) (uint64, error) {
 	s.metrics.Counter("source_reads").Inc(1)
 	var v platform.Value
--- a/internal/distribution/reader_rank.go
+++ b/internal/distribution/reader_rank.go
@@ -6,28 +6,28 @@
 	"github.com/walldrift/walldrift/internal/membership"
 )
 
-// UpdateReaderRank computes this node's place among the possible readers of its data
+// UpdateReaderRank computes this node's position among the possible readers of its data
 // centre.
 func (e *Engine) UpdateReaderRank(members []membership.Member) {
 	e.rank = membership.ReaderRank(e.self, members)
 }
 
-// ShouldRead decides whether this node watches the platform: the first ranks
-// of its data centre always, others one after another as the source falls
-// silent.
+// ShouldRead reports whether this node reads the platform now: the first ranks of its
+// data centre always do, the others one after another once the platform has not responded
+// for a while.
 func (e *Engine) ShouldRead(now time.Time) bool {
-	e.reading = e.mayRead(now, e.rank)
-	return e.reading
+	e.isReader = e.isReaderAt(now, e.rank)
+	return e.isReader
 }
 
-func (e *Engine) mayRead(now time.Time, rank int) bool {
+func (e *Engine) isReaderAt(now time.Time, rank int) bool {
 	if rank < e.cfg.Readers {
 		return true
 	}
-	heard := e.source
-	if heard.IsZero() {
-		heard = e.started
+	lastContact := e.lastSourceContact
+	if lastContact.IsZero() {
+		lastContact = e.started
 	}
-	spare := time.Duration(rank-e.cfg.Readers) * e.cfg.TakeoverStep
-	return now.Sub(heard) > e.cfg.TakeoverAge+spare
+	extra := time.Duration(rank-e.cfg.Readers) * e.cfg.TakeoverStep
+	return now.Sub(lastContact) > e.cfg.TakeoverAge+extra
 }
--- a/internal/distribution/receive.go
+++ b/internal/distribution/receive.go
@@ -4,69 +4,69 @@
 
 // Receive handles a message from a neighbour.
 func (e *Engine) Receive(now time.Time, from string, m *Message) Actions {
-	var fx Actions
+	var actions Actions
 	if m.Digest != nil {
-		e.receiveDigest(&fx, now, from, m.Digest)
+		e.receiveDigest(&actions, now, from, m.Digest)
 	}
 	for _, u := range m.Updates {
 		if u.Doc < docCount {
-			e.receiveUpdate(&fx, now, from, u)
+			e.receiveUpdate(&actions, now, from, u)
 		}
 	}
 	for _, w := range m.Wants {
 		if w.Doc < docCount {
-			e.receiveWant(&fx, from, w)
+			e.receiveWant(&actions, from, w)
 		}
 	}
 	if len(m.Rumors) > 0 {
-		e.receiveRumors(&fx, now, from, m.Rumors)
+		e.receiveRumors(&actions, now, from, m.Rumors)
 	}
 	if m.StatusQuery != nil {
-		e.receiveQuery(&fx, now, from, *m.StatusQuery)
+		e.receiveQuery(&actions, now, from, *m.StatusQuery)
 	}
 	if m.StatusReply != nil {
-		e.census.answer(from, *m.StatusReply)
-		e.finishSurveys(&fx, now)
+		e.queries.addReply(from, *m.StatusReply)
+		e.completeQueries(&actions, now)
 	}
-	return fx
+	return actions
 }
 
-func (e *Engine) receiveDigest(fx *Actions, now time.Time, from string, d *Digest) {
-	e.told[from] = true
+func (e *Engine) receiveDigest(actions *Actions, now time.Time, from string, d *Digest) {
+	e.digestSeen[from] = true
 	if d.RequestDigest {
-		fx.send(from, CauseDigest, &Message{Digest: e.digest(now)})
+		actions.addMessage(from, CauseDigest, &Message{Digest: e.digest(now)})
 	}
-	at := now.Add(-time.Duration(min(d.SourceAge, maxSourceAge)) * time.Millisecond)
-	if d.SourceAge < maxSourceAge && at.After(e.source) {
-		e.source = at
+	at := now.Add(-time.Duration(min(d.SourceAge, neverSourceAge)) * time.Millisecond)
+	if d.SourceAge < neverSourceAge && at.After(e.lastSourceContact) {
+		e.lastSourceContact = at
 	}
 	var wants []Want
 	for doc, r := range e.docs {
-		if w := r.digest(now, from, d.Held[doc]); w != nil {
+		if w := r.handleDigest(now, from, d.Held[doc]); w != nil {
 			wants = append(wants, *w)
 		}
 	}
 	if len(wants) > 0 {
-		fx.send(from, CauseHeal, &Message{Wants: wants})
+		actions.addMessage(from, CauseHeal, &Message{Wants: wants})
 	}
 }
 
-func (e *Engine) receiveUpdate(fx *Actions, now time.Time, from string, u Update) {
-	advanced, want, err := e.docs[u.Doc].update(now, from, u)
-	fx.fail(err)
+func (e *Engine) receiveUpdate(actions *Actions, now time.Time, from string, u Update) {
+	advanced, want, err := e.docs[u.Doc].handleUpdate(now, from, u)
+	actions.addError(err)
 	if want != nil {
-		fx.send(from, CauseHeal, &Message{Wants: []Want{*want}})
+		actions.addMessage(from, CauseHeal, &Message{Wants: []Want{*want}})
 	}
 	if advanced {
-		e.advanced(fx, now, u.Doc, from)
+		e.pushVersion(actions, now, u.Doc, from)
 	}
 }
 
-func (e *Engine) receiveWant(fx *Actions, from string, w Want) {
+func (e *Engine) receiveWant(actions *Actions, from string, w Want) {
 	r := e.docs[w.Doc]
-	r.known[from] = w.Have
-	if updates := r.answer(w.Have); updates != nil {
-		r.known[from] = r.held
-		fx.send(from, CauseHeal, &Message{Updates: updates})
+	r.peerVersions[from] = w.Have
+	if updates := r.updatesSince(w.Have); updates != nil {
+		r.peerVersions[from] = r.held
+		actions.addMessage(from, CauseHeal, &Message{Updates: updates})
 	}
 }
--- a/internal/distribution/replica.go
+++ b/internal/distribution/replica.go
@@ -13,11 +13,13 @@
 
 // Bounds of one replica.
 const (
-	maxSteps    = 64       // steps kept for neighbours that are behind
-	maxStepSize = 64 << 10 // bytes of splices kept over all steps
-	maxRefused  = 16       // refused versions remembered
-	maxDeltaLen = 8 << 10  // longest delta pushed unasked; beyond it a digest offers the version
-	wantTimeout = 2 * time.Second
+	maxDeltas     = 64       // deltas kept for neighbours that are behind
+	maxDeltaBytes = 64 << 10 // bytes of splices kept over all deltas
+	maxRefusals   = 16       // rejected versions remembered
+	// maxPushedDelta is the maximum size in bytes of splices that are pushed unrequested;
+	// a longer delta is only announced by a digest.
+	maxPushedDelta = 8 << 10
+	wantTimeout    = 2 * time.Second
 )
 
 // Checked is a document that passed its check. Commit puts it in force.
@@ -26,49 +28,49 @@
 	Commit func()
 }
 
-// Check decides about a whole document. An error means that it is refused. It
-// must be deterministic, so that all nodes decide alike; the ID is valid even
-// then if the document could be identified.
+// Check validates a full document. An error means that the document is rejected. It must
+// be deterministic, so that all nodes decide alike; the ID is valid even with an error if
+// the document could be identified.
 type Check func(raw []byte) (Checked, error)
 
-// Refusal is a version that the check refused.
+// Refusal is a version that failed its check.
 type Refusal struct {
 	ID   version.ID
 	From string
 	Err  error
 }
 
-// replica holds one document and decides what to take, ask for and send.
+// replica holds one document and decides which versions to apply, request and send.
 type replica struct {
-	doc     Doc
-	check   Check
-	held    version.ID
-	raw     []byte
-	whole   []byte // compressed raw, made when first needed
-	since   time.Time
-	from    string
-	steps   table.Steps           // for neighbours that are behind
-	known   map[string]version.ID // what each neighbour is known to hold
-	refused []Refusal
-	wanted  time.Time // when the last Want went out
-	asked   string    // whom it went to
+	doc          Doc
+	check        Check
+	held         version.ID
+	raw          []byte
+	compressed   []byte // raw compressed, created when first needed
+	since        time.Time
+	from         string
+	deltas       table.Steps           // kept for neighbours that are behind
+	peerVersions map[string]version.ID // the version each neighbour is known to hold
+	refusals     []Refusal
+	wantSent     time.Time // when the last Want was sent; zero if none is outstanding
+	wantSentTo   string    // the neighbour it was sent to
 }
 
 func newReplica(doc Doc, check Check) *replica {
 	return &replica{
-		doc:   doc,
-		check: check,
-		steps: table.Steps{MaxSteps: maxSteps, MaxBytes: maxStepSize},
-		known: make(map[string]version.ID),
+		doc:          doc,
+		check:        check,
+		deltas:       table.Steps{MaxSteps: maxDeltas, MaxBytes: maxDeltaBytes},
+		peerVersions: make(map[string]version.ID),
 	}
 }
 
-// offer takes a whole document. It reports the document's ID and whether the
-// replica advanced; err is the reason for a refusal.
-func (r *replica) offer(now time.Time, from string, raw []byte) (version.ID, bool, error) {
+// apply checks a full document and puts it in force if it is newer. It returns the
+// document's ID and whether the held version advanced; err is the reason for a rejection.
+func (r *replica) apply(now time.Time, from string, raw []byte) (version.ID, bool, error) {
 	doc, err := r.check(raw)
 	if err != nil {
-		r.refuse(Refusal{ID: doc.ID, From: from, Err: err})
+		r.recordRefusal(Refusal{ID: doc.ID, From: from, Err: err})
 		return doc.ID, false, err
 	}
 	if !doc.ID.Newer(r.held) {
@@ -81,67 +83,66 @@
 
 func (r *replica) advance(now time.Time, from string, id version.ID, raw []byte) {
 	if !r.held.IsZero() {
-		r.steps.Add(table.Step{From: r.held, To: id, Splices: table.Between(r.raw, raw)})
+		r.deltas.Add(table.Step{From: r.held, To: id, Splices: table.Between(r.raw, raw)})
 	}
-	r.held, r.raw, r.whole = id, raw, nil
+	r.held, r.raw, r.compressed = id, raw, nil
 	r.since, r.from = now, from
-	r.wanted = time.Time{}
+	r.wantSent = time.Time{}
 }
 
-func (r *replica) refusal(id version.ID) *Refusal {
-	for i := range r.refused {
-		if r.refused[i].ID == id {
-			return &r.refused[i]
+func (r *replica) refusalOf(id version.ID) *Refusal {
+	for i := range r.refusals {
+		if r.refusals[i].ID == id {
+			return &r.refusals[i]
 		}
 	}
 	return nil
 }
 
-func (r *replica) refuse(f Refusal) {
-	if r.refusal(f.ID) != nil {
+func (r *replica) recordRefusal(f Refusal) {
+	if r.refusalOf(f.ID) != nil {
 		return
 	}
-	r.refused = append(r.refused, f)
-	if len(r.refused) > maxRefused {
-		r.refused = slices.Delete(r.refused, 0, 1)
+	r.refusals = append(r.refusals, f)
+	if len(r.refusals) > maxRefusals {
+		r.refusals = slices.Delete(r.refusals, 0, 1)
 	}
 }
 
-// lastRefusal returns the newest refusal of a version that would be newer
-// than the held one, or nil.
+// lastRefusal returns the latest rejection of a version newer than the held one, or nil.
 func (r *replica) lastRefusal() *Refusal {
-	for i := len(r.refused) - 1; i >= 0; i-- {
-		if r.refused[i].ID.Newer(r.held) {
-			return &r.refused[i]
+	for i := len(r.refusals) - 1; i >= 0; i-- {
+		if r.refusals[i].ID.Newer(r.held) {
+			return &r.refusals[i]
 		}
 	}
 	return nil
 }
 
-// update handles an Update from a neighbour. It reports whether the replica
-// advanced, and the want to send back if the update cannot be used.
-func (r *replica) update(now time.Time, from string, u Update) (bool, *Want, error) {
-	r.learn(from, u.To)
-	if !u.To.Newer(r.held) || r.refusal(u.To) != nil {
+// handleUpdate handles an Update from a neighbour. It reports whether the held version
+// advanced, and returns the Want to send back if the update can't be used.
+func (r *replica) handleUpdate(now time.Time, from string, u Update) (bool, *Want, error) {
+	r.notePeerVersion(from, u.To)
+	if !u.To.Newer(r.held) || r.refusalOf(u.To) != nil {
 		return false, nil, nil
 	}
-	raw, err := r.restore(u)
+	raw, err := r.decodeUpdate(u)
 	if err != nil {
-		return false, r.want(now, from), err
+		return false, r.makeWant(now, from), err
 	}
 	if raw == nil {
-		return false, r.want(now, from), nil
+		return false, r.makeWant(now, from), nil
 	}
-	if err := r.matches(u.To, raw); err != nil {
-		return false, r.want(now, from), err
+	if err := r.verifyDigest(u.To, raw); err != nil {
+		return false, r.makeWant(now, from), err
 	}
-	_, advanced, err := r.offer(now, from, raw)
+	_, advanced, err := r.apply(now, from, raw)
 	return advanced, nil, err
 }
 
-// restore returns the bytes of an update, nil if it starts from a version
-// that is not held.
-func (r *replica) restore(u Update) ([]byte, error) {
+// decodeUpdate returns the document that results from an update, or nil if the update
+// starts from a version that is not held.
+func (r *replica) decodeUpdate(u Update) ([]byte, error) {
 	if u.From.IsZero() {
 		return decompress(u.Full)
 	}
@@ -151,102 +152,102 @@
 	return table.Apply(r.raw, u.Splices)
 }
 
-// matches tests restored bytes against the announced digest before they are
+// verifyDigest compares a decoded document with its announced version before it is
 // parsed.
-func (r *replica) matches(id version.ID, raw []byte) error {
+func (r *replica) verifyDigest(id version.ID, raw []byte) error {
 	if got := version.Of(id.Edition, raw); got != id {
 		return errors.Newf("%s: content is %v, announced as %v", r.doc, got, id)
 	}
 	return nil
 }
 
-// learn notes that a neighbour holds at least id.
-func (r *replica) learn(peer string, id version.ID) {
-	if id.Newer(r.known[peer]) {
-		r.known[peer] = id
+// notePeerVersion records that a neighbour holds at least the version id.
+func (r *replica) notePeerVersion(peer string, id version.ID) {
+	if id.Newer(r.peerVersions[peer]) {
+		r.peerVersions[peer] = id
 	}
 }
 
-// want returns a Want for the neighbour, unless one is under way already.
-func (r *replica) want(now time.Time, from string) *Want {
-	if !r.wanted.IsZero() && now.Sub(r.wanted) < wantTimeout {
+// makeWant returns a Want for the neighbour, or nil if one is outstanding.
+func (r *replica) makeWant(now time.Time, from string) *Want {
+	if !r.wantSent.IsZero() && now.Sub(r.wantSent) < wantTimeout {
 		return nil
 	}
-	r.wanted, r.asked = now, from
+	r.wantSent, r.wantSentTo = now, from
 	return &Want{Doc: r.doc, Have: r.held}
 }
 
-// digest handles what a neighbour says it holds and returns a Want if that is
+// handleDigest records the version that a neighbour holds, and returns a Want if it is
 // newer.
-func (r *replica) digest(now time.Time, from string, id version.ID) *Want {
-	// Unlike learn this may lower the known version: the neighbour may have
-	// restarted empty.
-	r.known[from] = id
-	if !id.Newer(r.held) || r.refusal(id) != nil {
+func (r *replica) handleDigest(now time.Time, from string, id version.ID) *Want {
+	// Unlike notePeerVersion this may lower the known version: the neighbour may have
+	// restarted without data.
+	r.peerVersions[from] = id
+	if !id.Newer(r.held) || r.refusalOf(id) != nil {
 		return nil
 	}
-	return r.want(now, from)
+	return r.makeWant(now, from)
 }
 
-// answer returns the updates that bring a neighbour from have to the held
-// version: the steps if all are kept, else the whole document.
-func (r *replica) answer(have version.ID) []Update {
+// updatesSince returns the updates that bring a neighbour from have to the held version:
+// the deltas if all are kept, else the full document.
+func (r *replica) updatesSince(have version.ID) []Update {
 	if !r.held.Newer(have) {
 		return nil
 	}
-	if chain := r.chain(have); chain != nil {
-		return chain
+	if deltas := r.deltasSince(have); deltas != nil {
+		return deltas
 	}
-	if r.whole == nil {
-		r.whole = compress(r.raw)
+	if r.compressed == nil {
+		r.compressed = compress(r.raw)
 	}
-	return []Update{{Doc: r.doc, To: r.held, Full: r.whole}}
+	return []Update{{Doc: r.doc, To: r.held, Full: r.compressed}}
 }
 
-// chain returns the kept steps from have to the held version, or nil.
-func (r *replica) chain(have version.ID) []Update {
+// deltasSince returns the kept deltas from have to the held version, or nil.
+func (r *replica) deltasSince(have version.ID) []Update {
 	if have.IsZero() {
 		return nil
 	}
 	var out []Update
-	for _, s := range r.steps.Since(have) {
+	for _, s := range r.deltas.Since(have) {
 		out = append(out, Update{Doc: r.doc, From: s.From, To: s.To, Splices: s.Splices})
 	}
 	return out
 }
 
-// push returns the updates to send unasked to a neighbour after an advance,
-// nil if it holds the version already, and whether a digest is to be sent
-// instead because the delta is long or not kept.
-func (r *replica) push(peer string) (updates []Update, offer bool) {
-	have := r.known[peer]
+// pushUpdates returns the updates to push to a neighbour after an advance, or nil if it
+// holds the version already. offer means that a digest is to be sent instead, because the
+// delta is too long or not kept.
+func (r *replica) pushUpdates(peer string) (updates []Update, offer bool) {
+	have := r.peerVersions[peer]
 	if !r.held.Newer(have) {
 		return nil, false
 	}
-	chain := r.chain(have)
-	if chain == nil {
+	deltas := r.deltasSince(have)
+	if deltas == nil {
 		return nil, true
 	}
 	size := 0
-	for _, u := range chain {
+	for _, u := range deltas {
 		size += table.SpliceBytes(u.Splices)
 	}
-	if size > maxDeltaLen {
+	if size > maxPushedDelta {
 		return nil, true
 	}
-	r.known[peer] = r.held
-	return chain, false
+	r.peerVersions[peer] = r.held
+	return deltas, false
 }
 
-func (r *replica) forget(peer string) {
-	delete(r.known, peer)
-	if r.asked == peer {
-		r.wanted = time.Time{}
+func (r *replica) forgetPeer(peer string) {
+	delete(r.peerVersions, peer)
+	if r.wantSentTo == peer {
+		r.wantSent = time.Time{}
 	}
 }
 
-// zstd coders are stateless for whole buffers and safe for concurrent use.
-// Concurrency 1 keeps their memory small.
+// zstd coders are stateless for complete buffers and safe for concurrent use. Concurrency
+// 1 limits their memory.
 var (
 	encoder, _ = zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1), zstd.WithEncoderLevel(zstd.SpeedDefault), zstd.WithLowerEncoderMem(true), zstd.WithWindowSize(1<<20))
 	decoder, _ = zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(table.MaxBytes), zstd.WithDecoderLowmem(true))
--- a/internal/distribution/rumors.go
+++ b/internal/distribution/rumors.go
@@ -6,47 +6,46 @@
 	"github.com/walldrift/walldrift/internal/membership"
 )
 
-func (e *Engine) receiveRumors(fx *Actions, now time.Time, from string, rumors []membership.Rumor) {
+func (e *Engine) receiveRumors(actions *Actions, now time.Time, from string, rumors []membership.Rumor) {
 	for _, r := range rumors {
-		news, refute := e.View.Apply(r, now)
-		if news {
-			e.spread(fx, from, r)
+		changed, refutation := e.View.Apply(r, now)
+		if changed {
+			e.queueRumor(actions, from, r)
 		}
-		if refute != nil {
-			e.spread(fx, "", *refute)
+		if refutation != nil {
+			e.queueRumor(actions, "", *refutation)
 		}
 	}
 }
 
-// pendingRumor is a rumor on its way to all neighbours but the one it came
-// from.
+// pendingRumor is a rumor to be sent to all neighbours except the one it came from.
 type pendingRumor struct {
 	rumor membership.Rumor
 	from  string
 }
 
-// spread queues a rumor for the next Flush. Rumors come in herds, when many
-// instances start or fail at once; one message a link then carries them all.
-func (e *Engine) spread(fx *Actions, from string, r membership.Rumor) {
-	fx.MembersChanged = true
-	fx.Flush = fx.Flush || len(e.pending) == 0
-	e.pending = append(e.pending, pendingRumor{r, from})
+// queueRumor queues a rumor for the next Flush. When many instances start or fail at
+// once, rumors arrive in bursts; batching sends them in one message per link.
+func (e *Engine) queueRumor(actions *Actions, from string, r membership.Rumor) {
+	actions.MembersChanged = true
+	actions.Flush = actions.Flush || len(e.pendingRumors) == 0
+	e.pendingRumors = append(e.pendingRumors, pendingRumor{r, from})
 }
 
-// Flush sends the queued rumors.
+// Flush returns the messages that send the queued rumors.
 func (e *Engine) Flush() Actions {
-	var fx Actions
+	var actions Actions
 	for _, peer := range e.neighbours() {
 		var batch []membership.Rumor
-		for _, p := range e.pending {
+		for _, p := range e.pendingRumors {
 			if p.from != peer {
 				batch = append(batch, p.rumor)
 			}
 		}
 		if len(batch) > 0 {
-			fx.send(peer, CauseMembership, &Message{Rumors: batch})
+			actions.addMessage(peer, CauseMembership, &Message{Rumors: batch})
 		}
 	}
-	e.pending = nil
-	return fx
+	e.pendingRumors = nil
+	return actions
 }
--- a/internal/distribution/service.go
+++ b/internal/distribution/service.go
@@ -17,7 +17,7 @@
 	"github.com/walldrift/walldrift/internal/platform"
 )
 
-// Seed is a node that a starting one may ask before it reads the platform.
+// Seed is a node that a starting node contacts before it reads the platform.
 type Seed struct {
 	Name string
 	Addr netip.AddrPort
@@ -27,19 +27,19 @@
 type ServiceConfig struct {
 	Engine EngineConfig
 	Self   membership.Instance
-	// Seeds are asked for list and table before the platform is.
+	// Seeds are contacted for the list and the table before the platform is read.
 	Seeds []Seed
-	// ReadSpread is the time over which starting nodes spread their first read
-	// of the platform. Longer protects the platform when all nodes start at
-	// once, shorter starts sooner. At N nodes the herd makes N/ReadSpread
-	// reads a second.
+	// ReadSpread is the time over which starting nodes spread their first read of the
+	// platform. A longer one protects the platform when all nodes start at once, a
+	// shorter one makes nodes ready sooner. N nodes that start together make N/ReadSpread
+	// reads per second.
 	ReadSpread time.Duration
 	// WatchWait is how long one blocking watch waits. Default 30 s.
 	WatchWait time.Duration
 }
 
-// Service runs an Engine: it owns the links and the platform readers. All
-// engine calls happen in one goroutine.
+// Service runs an Engine: it owns the links and the platform readers. All engine calls
+// are made in one goroutine.
 type Service struct {
 	cfg       ServiceConfig
 	engine    *Engine
@@ -50,30 +50,29 @@
 	bytes     [len(causeNames)]tally.Counter // by cause
 	rnd       *rand.Rand
 
-	events  chan func(now time.Time) Actions
-	surveys map[uint64]chan<- StatusResult
-	links   *linkSet
-	members atomic.Pointer[[]membership.Member]
-	status  atomic.Pointer[NodeStatus]
-	group   sync.WaitGroup
-	ctx     context.Context
-	index   atomic.Pointer[map[string]membership.Member]
-	// synced says that this node holds a table at least as new as a
-	// neighbour's, or has had nobody to ask for isolationGrace.
-	synced       atomic.Bool
-	unsynced     time.Time // since when it is not
-	membersAt    time.Time // when the members were last published
-	membersStale bool      // they have changed since
+	events        chan func(now time.Time) Actions
+	statusResults map[uint64]chan<- StatusResult
+	links         *linkSet
+	members       atomic.Pointer[[]membership.Member]
+	status        atomic.Pointer[NodeStatus]
+	group         sync.WaitGroup
+	ctx           context.Context
+	memberIndex   atomic.Pointer[map[string]membership.Member]
+	// synced is true once this node holds a table at least as new as a neighbour's, or
+	// has had no links for isolationGrace.
+	synced           atomic.Bool
+	unsyncedSince    time.Time // since when synced is false
+	membersPublished time.Time // when the members were last published
+	membersStale     bool      // the members have changed since
 }
 
-// Timing of the loop.
+// Timing of the service loop.
 const (
 	tickInterval = 200 * time.Millisecond
-	// pauseGap is the time between ticks from which the process counts as
-	// having been paused.
-	pauseGap    = 2 * time.Second
-	eventBuffer = 1024
-	// rumorDelay is how long rumors are gathered before they are passed on.
+	// pauseThreshold is the time between ticks that counts as a process pause.
+	pauseThreshold = 2 * time.Second
+	eventBuffer    = 1024
+	// rumorDelay is how long rumors are collected before they are sent.
 	rumorDelay = 50 * time.Millisecond
 )
 
@@ -82,16 +81,16 @@
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(cfg.Self.Name))
 	s := &Service{
-		cfg:       cfg,
-		engine:    NewEngine(cfg.Engine, cfg.Self, check, time.Now()),
-		transport: tr,
-		source:    src,
-		log:       logger,
-		metrics:   metrics,
-		rnd:       rand.New(rand.NewPCG(h.Sum64(), cfg.Self.Generation)),
-		events:    make(chan func(time.Time) Actions, eventBuffer),
-		surveys:   make(map[uint64]chan<- StatusResult),
-		unsynced:  time.Now(),
+		cfg:           cfg,
+		engine:        NewEngine(cfg.Engine, cfg.Self, check, time.Now()),
+		transport:     tr,
+		source:        src,
+		log:           logger,
+		metrics:       metrics,
+		rnd:           rand.New(rand.NewPCG(h.Sum64(), cfg.Self.Generation)),
+		events:        make(chan func(time.Time) Actions, eventBuffer),
+		statusResults: make(map[uint64]chan<- StatusResult),
+		unsyncedSince: time.Now(),
 	}
 	for c, name := range causeNames {
 		s.bytes[c] = metrics.Tagged(map[string]string{"cause": name}).Counter("control_bytes")
@@ -101,12 +100,12 @@
 	return s
 }
 
-// Run works until ctx ends.
+// Run runs the service until ctx ends.
 func (s *Service) Run(ctx context.Context) {
 	s.ctx = ctx
 	s.group.Go(func() { s.acceptLoop(ctx) })
-	s.group.Go(func() { s.readLoop(ctx, DocList, platform.KeyInstances) })
-	s.group.Go(func() { s.readLoop(ctx, DocTable, platform.KeyTable) })
+	s.group.Go(func() { s.readPlatform(ctx, DocList, platform.KeyInstances) })
+	s.group.Go(func() { s.readPlatform(ctx, DocTable, platform.KeyTable) })
 	s.loop(ctx)
 	s.links.closeAll("shutting down")
 	s.group.Wait()
@@ -123,78 +122,79 @@
 			return
 		case f := <-s.events:
 			now := time.Now()
-			s.carryOut(f(now))
+			s.execute(f(now))
 		case <-tick.C:
 			now := time.Now()
-			if gap := now.Sub(last); gap > pauseGap {
-				s.awake(now, gap)
+			if gap := now.Sub(last); gap > pauseThreshold {
+				s.handlePause(now, gap)
 			}
 			last = now
-			s.carryOut(s.engine.Tick(now))
+			s.execute(s.engine.Tick(now))
 			s.links.maintain(now)
 			s.publishState(now)
 		}
 	}
 }
 
-// awake acts on a pause: until a neighbour has told what it holds, this node
-// may be behind and is not in sync.
-func (s *Service) awake(now time.Time, gap time.Duration) {
+// handlePause handles a process pause: until a neighbour has sent its digest, this node
+// may be behind and does not count as synced.
+func (s *Service) handlePause(now time.Time, gap time.Duration) {
 	s.metrics.Counter("pauses").Inc(1)
 	s.log.Warn("process was paused", "gap", gap)
 	s.synced.Store(false)
-	s.unsynced = now
-	s.carryOut(s.engine.RequestDigests(now))
+	s.unsyncedSince = now
+	s.execute(s.engine.RequestDigests(now))
 }
 
-// carryOut performs what the engine asked for.
-func (s *Service) carryOut(fx Actions) {
-	for _, send := range fx.Messages {
+// execute executes the engine's actions.
+func (s *Service) execute(actions Actions) {
+	for _, send := range actions.Messages {
 		s.links.send(send)
 	}
-	for _, err := range fx.Errors {
+	for _, err := range actions.Errors {
 		s.metrics.Counter("message_errors").Inc(1)
 		s.log.Debug("message", "err", err)
 	}
-	for _, doc := range fx.Advanced {
+	for _, doc := range actions.Advanced {
 		s.metrics.Tagged(map[string]string{"document": doc.String()}).Counter("advances").Inc(1)
 		st := s.engine.Status(time.Now())
 		s.log.Info("version in force", "document", doc, "version", s.engine.Held(doc), "from", st.From)
 	}
-	for _, sv := range fx.StatusResults {
-		if ch, ok := s.surveys[sv.ID]; ok {
-			delete(s.surveys, sv.ID)
-			ch <- sv
+	for _, result := range actions.StatusResults {
+		if ch, ok := s.statusResults[result.ID]; ok {
+			delete(s.statusResults, result.ID)
+			ch <- result
 		}
 	}
-	if fx.MembersChanged {
+	if actions.MembersChanged {
 		s.links.overlayStale = true
 	}
-	if fx.Flush {
+	if actions.Flush {
 		time.AfterFunc(rumorDelay, func() { s.post(func(time.Time) Actions { return s.engine.Flush() }) })
 	}
-	s.membersStale = s.membersStale || fx.MembersChanged
-	if now := time.Now(); len(fx.Advanced) > 0 || (s.membersStale && now.Sub(s.membersAt) >= membersSettle) {
+	s.membersStale = s.membersStale || actions.MembersChanged
+	if now := time.Now(); len(actions.Advanced) > 0 || (s.membersStale && now.Sub(s.membersPublished) >= minMembersInterval) {
 		s.publishState(now)
 	}
 }
 
-// memberRefresh is how often the members are published without a known change:
-// suspicions run out by time alone.
-const memberRefresh = time.Second
+// maxMembersInterval is how often the members are published without a known change, as
+// suspicions also expire by time alone.
+const maxMembersInterval = time.Second
 
-// isolationGrace is how long a node without links waits before it serves what
-// it holds: it may be the last of its island.
+// isolationGrace is how long a node without links waits before it serves the table it
+// holds: it may be the last node of its partition.
 const isolationGrace = 5 * time.Second
 
-// membersSettle is the least time between two publications of the members but
-// for the ticks: in a herd of joins each would copy them all.
-const membersSettle = 50 * time.Millisecond
+// minMembersInterval is the minimum time between two publications of the members outside
+// of ticks, as each one copies all members: a burst of joins would copy them for every
+// join.
+const minMembersInterval = 50 * time.Millisecond
 
-// publishState stores what other goroutines read.
+// publishState publishes the state that other goroutines read.
 func (s *Service) publishState(now time.Time) {
-	if s.membersStale || now.Sub(s.membersAt) >= memberRefresh {
-		s.membersAt, s.membersStale = now, false
+	if s.membersStale || now.Sub(s.membersPublished) >= maxMembersInterval {
+		s.membersPublished, s.membersStale = now, false
 		s.publishMembers(now)
 	}
 	st := s.engine.Status(now)
@@ -202,8 +202,8 @@
 	if s.synced.Load() || st.Table.IsZero() {
 		return
 	}
-	isolated := st.Links == 0 && now.Sub(s.unsynced) > isolationGrace
-	if isolated || s.engine.InSync() || s.links.alone() {
+	isolated := st.Links == 0 && now.Sub(s.unsyncedSince) > isolationGrace
+	if isolated || s.engine.InSync() || s.links.isOnlyMember() {
 		s.synced.Store(true)
 	}
 }
@@ -215,27 +215,26 @@
 		index[m.Name] = m
 	}
 	s.members.Store(&members)
-	s.index.Store(&index)
+	s.memberIndex.Store(&index)
 }
 
-// Members returns the instances as this node sees them. The slice must not be
-// changed.
+// Members returns the instances that this node knows. The slice must not be modified.
 func (s *Service) Members() []membership.Member { return *s.members.Load() }
 
-// Member looks up one instance.
+// Member returns the instance with the given name.
 func (s *Service) Member(name string) (membership.Member, bool) {
-	m, ok := (*s.index.Load())[name]
+	m, ok := (*s.memberIndex.Load())[name]
 	return m, ok
 }
 
 // Status returns this node's own status.
 func (s *Service) Status() NodeStatus { return *s.status.Load() }
 
-// Synced reports whether this node knows that it holds a table at least as
-// new as a neighbour's.
+// Synced reports whether this node holds a table at least as new as a neighbour's, or has
+// had no links for isolationGrace, or is the only member.
 func (s *Service) Synced() bool { return s.synced.Load() }
 
-// post hands an event to the loop.
+// post passes an event to the service loop.
 func (s *Service) post(f func(now time.Time) Actions) {
 	select {
 	case s.events <- f:
@@ -243,8 +242,8 @@
 	}
 }
 
-// ask calls f in the loop and returns its result; false if ctx ends first.
-func ask[T any](ctx context.Context, s *Service, f func(now time.Time) T) (T, bool) {
+// callInLoop calls f in the service loop and returns its result; false if ctx ends first.
+func callInLoop[T any](ctx context.Context, s *Service, f func(now time.Time) T) (T, bool) {
 	ch := make(chan T, 1)
 	s.post(func(now time.Time) Actions {
 		ch <- f(now)
@@ -259,38 +258,37 @@
 	}
 }
 
-// QueryStatus asks all nodes for their status.
+// QueryStatus collects the status of all nodes.
 func (s *Service) QueryStatus(ctx context.Context) ([]NodeStatus, error) {
 	ch := make(chan StatusResult, 1)
 	id := rand.Uint64()
 	select {
 	case s.events <- func(now time.Time) Actions {
-		s.surveys[id] = ch
+		s.statusResults[id] = ch
 		return s.engine.StartStatusQuery(now, id)
 	}:
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
 	select {
-	case sv := <-ch:
-		return sv.Nodes, nil
-	case <-time.After(2 * censusPatience):
-		return nil, errors.New("survey was not answered")
+	case result := <-ch:
+		return result.Nodes, nil
+	case <-time.After(2 * statusQueryTimeout):
+		return nil, errors.New("status query got no result")
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
 }
 
-// SetLeaving tells the neighbours that this instance leaves, or that it does not
-// any more.
+// SetLeaving announces to the neighbours whether this instance is leaving.
 func (s *Service) SetLeaving(leaving bool) {
 	s.post(func(time.Time) Actions { return s.engine.SetLeaving(leaving) })
 }
 
-// Refusal returns the newest refused table that would be newer than the held
-// one, with all its findings.
+// Refusal returns the latest rejected table that is newer than the held one, with all its
+// findings.
 func (s *Service) Refusal() (Refusal, bool) {
-	r, ok := ask(s.ctx, s, func(time.Time) *Refusal { return s.engine.Refused(DocTable) })
+	r, ok := callInLoop(s.ctx, s, func(time.Time) *Refusal { return s.engine.Refused(DocTable) })
 	if !ok || r == nil {
 		return Refusal{}, false
 	}
--- a/internal/distribution/status.go
+++ b/internal/distribution/status.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// CountSent adds sent bytes to the counters.
+// CountSent adds sent bytes to the traffic counters.
 func (e *Engine) CountSent(c Cause, n int) {
 	switch c {
 	case CausePush:
@@ -30,7 +30,7 @@
 		Table:      t.held,
 		From:       t.from,
 		List:       e.docs[DocList].held,
-		Reader:     e.reading,
+		Reader:     e.isReader,
 		SourceAge:  e.sourceAge(now),
 		Bytes:      e.traffic,
 		Links:      len(e.links),
@@ -38,23 +38,23 @@
 	if !t.since.IsZero() {
 		s.HeldFor = uint64(now.Sub(t.since).Milliseconds())
 	}
-	s.Refused = e.refusal()
-	s.Waiting = e.waiting(now)
+	s.Refused = e.rejectedVersion()
+	s.Waiting = e.waitingFor(now)
 	return s
 }
 
-// refusal says which version this node refused, or which one of the platform's
-// was overtaken by the held one; empty if neither.
-func (e *Engine) refusal() string {
-	t, offered := e.docs[DocTable], e.offered[DocTable]
-	if f := t.lastRefusal(); f != nil {
-		return f.ID.String() + ": " + firstLine(f.Err)
+// rejectedVersion describes the version that this node rejected, or the platform's
+// version if it is older than the held one; empty if neither.
+func (e *Engine) rejectedVersion() string {
+	t, read := e.docs[DocTable], e.lastRead[DocTable]
+	if refusal := t.lastRefusal(); refusal != nil {
+		return refusal.ID.String() + ": " + firstLine(refusal.Err)
 	}
 	switch {
-	case offered.Err != nil:
-		return offered.ID.String() + ": " + firstLine(offered.Err)
-	case t.held.Newer(offered.ID) && !offered.ID.IsZero() && e.reading:
-		return offered.ID.String() + ": the platform offers it, overtaken by the held version"
+	case read.Err != nil:
+		return read.ID.String() + ": " + firstLine(read.Err)
+	case t.held.Newer(read.ID) && !read.ID.IsZero() && e.isReader:
+		return read.ID.String() + ": the platform offers it, overtaken by the held version"
 	}
 	return ""
 }
@@ -64,18 +64,18 @@
 	return line
 }
 
-// waiting says what the node waits for, empty if nothing.
-func (e *Engine) waiting(now time.Time) string {
+// waitingFor describes what the node waits for; empty if nothing.
+func (e *Engine) waitingFor(now time.Time) string {
 	t := e.docs[DocTable]
 	for _, peer := range e.neighbours() {
-		if known := t.known[peer]; known.Newer(t.held) && t.refusal(known) == nil {
-			return "version " + known.String() + " from " + t.asked
+		if peerVersion := t.peerVersions[peer]; peerVersion.Newer(t.held) && t.refusalOf(peerVersion) == nil {
+			return "version " + peerVersion.String() + " from " + t.wantSentTo
 		}
 	}
 	switch {
 	case t.held.IsZero():
 		return "a first table"
-	case now.Sub(e.source) > e.cfg.TakeoverAge:
+	case now.Sub(e.lastSourceContact) > e.cfg.TakeoverAge:
 		return "the platform to answer"
 	}
 	return ""
--- a/internal/distribution/status_query.go
+++ b/internal/distribution/status_query.go
@@ -7,41 +7,41 @@
 	"time"
 )
 
-// StartStatusQuery starts a status query at this node. The result comes with the Surveys of
-// a later Effects.
+// StartStatusQuery starts a status query at this node. The result is in the StatusResults
+// of later Actions.
 func (e *Engine) StartStatusQuery(now time.Time, id uint64) Actions {
-	var fx Actions
-	e.receiveQuery(&fx, now, "", StatusQuery{ID: id, TimeoutMs: uint32(censusPatience.Milliseconds())})
-	return fx
+	var actions Actions
+	e.receiveQuery(&actions, now, "", StatusQuery{ID: id, TimeoutMs: uint32(statusQueryTimeout.Milliseconds())})
+	return actions
 }
 
-func (e *Engine) receiveQuery(fx *Actions, now time.Time, from string, q StatusQuery) {
-	s, first := e.census.start(now, q, from, e.neighbours(), e.Status(now))
+func (e *Engine) receiveQuery(actions *Actions, now time.Time, from string, q StatusQuery) {
+	query, first := e.queries.begin(now, q, from, e.neighbours(), e.Status(now))
 	if !first {
 		if from != "" {
-			fx.send(from, CauseCensus, &Message{StatusReply: &StatusReply{ID: q.ID}})
+			actions.addMessage(from, CauseCensus, &Message{StatusReply: &StatusReply{ID: q.ID}})
 		}
 		return
 	}
-	hop := uint32(censusHop.Milliseconds())
-	if q.TimeoutMs > hop {
-		for _, peer := range slices.Sorted(maps.Keys(s.waiting)) {
-			fx.send(peer, CauseCensus, &Message{StatusQuery: &StatusQuery{ID: q.ID, TimeoutMs: q.TimeoutMs - hop}})
+	hopMargin := uint32(statusQueryHopMargin.Milliseconds())
+	if q.TimeoutMs > hopMargin {
+		for _, peer := range slices.Sorted(maps.Keys(query.pending)) {
+			actions.addMessage(peer, CauseCensus, &Message{StatusQuery: &StatusQuery{ID: q.ID, TimeoutMs: q.TimeoutMs - hopMargin}})
 		}
 	} else {
-		clear(s.waiting)
+		clear(query.pending)
 	}
-	e.finishSurveys(fx, now)
+	e.completeQueries(actions, now)
 }
 
-// finishSurveys answers the queries that are complete or overdue.
-func (e *Engine) finishSurveys(fx *Actions, now time.Time) {
-	for _, s := range e.census.finished(now) {
-		nodes := slices.SortedFunc(maps.Values(s.nodes), func(a, b NodeStatus) int { return strings.Compare(a.Name, b.Name) })
-		if s.parent == "" {
-			fx.StatusResults = append(fx.StatusResults, StatusResult{ID: s.id, Nodes: nodes})
+// completeQueries replies to the queries that are complete or overdue.
+func (e *Engine) completeQueries(actions *Actions, now time.Time) {
+	for _, query := range e.queries.takeFinished(now) {
+		nodes := slices.SortedFunc(maps.Values(query.nodes), func(a, b NodeStatus) int { return strings.Compare(a.Name, b.Name) })
+		if query.parent == "" {
+			actions.StatusResults = append(actions.StatusResults, StatusResult{ID: query.id, Nodes: nodes})
 			continue
 		}
-		fx.send(s.parent, CauseCensus, &Message{StatusReply: &StatusReply{ID: s.id, Nodes: nodes}})
+		actions.addMessage(query.parent, CauseCensus, &Message{StatusReply: &StatusReply{ID: query.id, Nodes: nodes}})
 	}
 }
--- a/internal/distribution/traffic.go
+++ b/internal/distribution/traffic.go
@@ -8,7 +8,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// WireTraffic is the control traffic of a node on the wire, overheads included.
+// WireTraffic is the control traffic of a node on the wire in bytes, including protocol
+// overhead.
 type WireTraffic struct {
 	Sent     uint64 `json:"sent"`
 	Received uint64 `json:"received"`
@@ -17,7 +18,7 @@
 // causeNames are the metric tags of the causes.
 var causeNames = [...]string{"push", "heal", "digest", "membership", "census"}
 
-// countSent is called from the writers of the links.
+// countSent counts sent bytes. The writer goroutines of the links call it.
 func (s *Service) countSent(c Cause, n int) {
 	s.bytes[c].Inc(int64(n))
 	s.post(func(time.Time) Actions {
@@ -26,20 +27,20 @@
 	})
 }
 
-// WireBytes returns the bytes on the links in use.
+// WireBytes returns the bytes sent and received on all links so far.
 func (s *Service) WireBytes(ctx context.Context) WireTraffic {
-	w, _ := ask(ctx, s, func(time.Time) WireTraffic { return s.links.wireBytes() })
+	w, _ := callInLoop(ctx, s, func(time.Time) WireTraffic { return s.links.wireBytes() })
 	return w
 }
 
-// IsPeerTimeout reports whether an error means that the peer stopped answering, as
+// IsPeerTimeout reports whether an error means that the peer became unresponsive, as
 // opposed to closing the link.
 func IsPeerTimeout(err error) bool {
 	var netErr net.Error
 	return errors.As(err, &netErr) && netErr.Timeout()
 }
 
-// acceptLoop takes in links that other nodes open.
+// acceptLoop accepts the links that other nodes open.
 func (s *Service) acceptLoop(ctx context.Context) {
 	for {
 		l, err := s.transport.Accept(ctx)
--- a/internal/distribution/transport.go
+++ b/internal/distribution/transport.go
@@ -5,8 +5,7 @@
 	"net/netip"
 )
 
-// Transport opens and accepts control links. The QUIC one is in package peer,
-// its in-memory twin in MemoryNetwork.
+// Transport opens and accepts control links. Package peer implements it over QUIC.
 type Transport interface {
 	// Dial opens a link to the named instance.
 	Dial(ctx context.Context, name string, addr netip.AddrPort) (Link, error)
@@ -14,16 +13,16 @@
 	Accept(ctx context.Context) (Link, error)
 }
 
-// Link is an ordered, reliable stream of messages between two nodes. Send and
-// Receive are each called from one goroutine.
+// Link is an ordered, reliable stream of messages between two nodes. Send and Receive may
+// each be called from one goroutine at a time.
 type Link interface {
-	// Peer is the authenticated name of the other side.
+	// Peer returns the authenticated name of the other side.
 	Peer() string
 	// Dialled reports whether this side opened the link.
 	Dialled() bool
 	Send(msg []byte) error
 	Receive() ([]byte, error)
-	// WireBytes returns the bytes sent and received, overheads included.
+	// WireBytes returns the bytes sent and received, including protocol overhead.
 	WireBytes() (sent, received uint64)
 	Close(reason string)
 }
