--- a/internal/quota/borrower.go
+++ b/internal/quota/borrower.go
@@ -6,37 +6,38 @@
 	"time"
 )
 
-// Borrower spends the tokens lent to one node.
+// Borrower spends the tokens that owners lend to one node.
 type Borrower struct {
 	rnd       *rand.Rand
 	customers map[string]*account
 }
 
-// NewBorrower returns a borrower to which nothing is lent.
+// NewBorrower returns a borrower without tokens.
 func NewBorrower(rnd *rand.Rand) *Borrower {
 	return &Borrower{rnd: rnd, customers: make(map[string]*account)}
 }
 
-// account is what a node holds of one customer.
+// account is a node's state for one customer.
 type account struct {
-	lent    int
-	until   time.Time // when what is lent lapses
-	demand  float64   // smoothed requests per second
-	at      time.Time // of demand
-	waiting int       // requests that wait for an answer
-	asking  bool
-	quiet   time.Time // until then the home has nothing to lend
-	// reserve is spent until unreached, as the home does not answer.
-	unreached time.Time
-	reserve   bucket
-	spent     int // beside the home, not told to it yet
-	count     Count
+	leased     int
+	leaseUntil time.Time // expiry of the leased tokens
+	demand     float64   // smoothed requests per second
+	demandAt   time.Time // last update of demand
+	waiting    int       // requests waiting for a grant
+	borrowing  bool
+	emptyUntil time.Time // the owner has no tokens to lend until then
+	// The local reserve is used until unreachableUntil, as the owner doesn't respond.
+	unreachableUntil time.Time
+	reserve          bucket
+	unreported       int // spent without the owner and not reported to it yet
+	count            Count
 }
 
-// Count is what became of requests of a customer at a node.
+// Count is the number of a customer's requests that a node admitted and refused.
 type Count struct{ Admitted, Refused int64 }
 
-// Count returns what became of the requests of a customer, since it was last forgotten.
+// Count returns the counts of a customer since its account was created; an account is
+// removed when idle.
 func (b *Borrower) Count(customer string) Count {
 	if a, ok := b.customers[customer]; ok {
 		return a.count
@@ -44,42 +45,45 @@
 	return Count{}
 }
 
-// demandMemory is the time after which a request counts for a third in the demand.
-const demandMemory = 2 * time.Second
+// demandDecay is the time after which a request's weight in the demand has fallen to a
+// third.
+const demandDecay = 2 * time.Second
 
 func (b *Borrower) account(now time.Time, customer string) *account {
 	a, ok := b.customers[customer]
 	if !ok {
-		a = &account{at: now}
+		a = &account{demandAt: now}
 		b.customers[customer] = a
 	}
 	return a
 }
 
-// Verdict says what is to be done with a request.
+// Verdict is the decision on a request.
 type Verdict int
 
 // The verdicts.
 const (
-	// Allowed requests have taken a token.
+	// Allowed means that a token was taken for the request.
 	Allowed Verdict = iota
-	// AllowedAndBorrow is Allowed, and tokens for the next ones should be asked for.
+	// AllowedAndBorrow is Allowed, and the caller should borrow tokens for further
+	// requests.
 	AllowedAndBorrow
-	// MustBorrow requests wait for the answer of the home, and are taken again then.
+	// MustBorrow means that the request waits for a grant and is passed to Admit again
+	// then.
 	MustBorrow
-	// Refused requests are over the limit.
+	// Refused means that the request exceeds the limit.
 	Refused
 )
 
-// refillShare is the part of a batch at which the next one is asked for, as a divisor: at a
-// steady demand a quarter of a lease is left for the answer.
-const refillShare = 2
+// refillDivisor gives the share of a batch at which the next one is requested, as a
+// divisor: at a constant demand a quarter of a lease is left for the response.
+const refillDivisor = 2
 
-// Admit takes a request of a customer into its limit, at one of so many nodes. With Refused,
-// after is the time until there may be room.
+// Admit applies the limit of a customer to a request, at one of the given number of
+// nodes. For Refused, after is the time until a request may be admitted.
 func (b *Borrower) Admit(now time.Time, customer string, limit Limit, nodes int) (v Verdict, after time.Duration) {
 	a := b.account(now, customer)
-	a.note(now)
+	a.countRequest(now)
 	v, after = b.verdict(now, a, limit, nodes)
 	switch v {
 	case Allowed, AllowedAndBorrow:
@@ -92,110 +96,114 @@
 
 func (b *Borrower) verdict(now time.Time, a *account, limit Limit, nodes int) (v Verdict, after time.Duration) {
 	switch {
-	case a.lent > 0 && now.Before(a.until):
-		a.lent--
-		if !a.asking && a.lent < a.want()/refillShare && !now.Before(a.quiet) {
+	case a.leased > 0 && now.Before(a.leaseUntil):
+		a.leased--
+		if !a.borrowing && a.leased < a.tokensWanted()/refillDivisor && !now.Before(a.emptyUntil) {
 			return AllowedAndBorrow, 0
 		}
 		return Allowed, 0
-	case now.Before(a.unreached):
-		return b.takeReserve(now, a, limit, nodes)
-	case now.Before(a.quiet):
-		return Refused, a.quiet.Sub(now)
+	case now.Before(a.unreachableUntil):
+		return b.spendReserve(now, a, limit, nodes)
+	case now.Before(a.emptyUntil):
+		return Refused, a.emptyUntil.Sub(now)
 	}
-	a.lent = 0
+	a.leased = 0
 	a.waiting++
 	return MustBorrow, 0
 }
 
-// takeReserve takes a request into the node's part of the limit, as the home is not
-// reached. The first tokens are drawn by chance, as with many nodes a part is less than one.
-func (b *Borrower) takeReserve(now time.Time, a *account, limit Limit, nodes int) (Verdict, time.Duration) {
+// spendReserve applies the node's share of the limit to a request, as the owner is
+// unreachable. The initial burst is rounded up or down at random, because with many nodes
+// the share of each is less than one token.
+func (b *Borrower) spendReserve(now time.Time, a *account, limit Limit, nodes int) (Verdict, time.Duration) {
 	n := float64(max(nodes, 1))
 	part := Limit{Rate: limit.Rate / n, Burst: limit.Burst / n}
-	if a.reserve.at.IsZero() {
-		a.reserve = bucket{limit: part, at: now, tokens: math.Floor(part.Burst + b.rnd.Float64())}
+	if a.reserve.updatedAt.IsZero() {
+		a.reserve = bucket{limit: part, updatedAt: now, tokens: math.Floor(part.Burst + b.rnd.Float64())}
 	}
 	a.reserve.refill(now, part)
 	if a.reserve.take(1) == 1 {
-		a.spent++
+		a.unreported++
 		return Allowed, 0
 	}
 	return Refused, a.reserve.wait()
 }
 
-// note counts a request in the demand.
-func (a *account) note(now time.Time) {
-	fade := math.Exp(-max(now.Sub(a.at).Seconds(), 0) / demandMemory.Seconds())
-	a.demand = a.demand*fade + 1/demandMemory.Seconds()
-	a.at = now
+// countRequest adds a request to the demand.
+func (a *account) countRequest(now time.Time) {
+	fade := math.Exp(-max(now.Sub(a.demandAt).Seconds(), 0) / demandDecay.Seconds())
+	a.demand = a.demand*fade + 1/demandDecay.Seconds()
+	a.demandAt = now
 }
 
-// leaseShare is the part of a lease for which tokens are borrowed, as a divisor: what lapses
-// unspent is lost to the customer.
-const leaseShare = 2
+// leaseDivisor gives the share of a lease for which tokens are borrowed, as a divisor:
+// tokens that expire unspent are lost to the customer.
+const leaseDivisor = 2
 
-// want is how many tokens the node expects to spend in time.
-func (a *account) want() int {
-	return max(int(a.demand*Lease.Seconds()/leaseShare), a.waiting, 1)
+// tokensWanted returns how many tokens the node expects to spend before they expire.
+func (a *account) tokensWanted() int {
+	return max(int(a.demand*Lease.Seconds()/leaseDivisor), a.waiting, 1)
 }
 
-// StartBorrowing notes that the home is asked, and returns for what.
+// StartBorrowing records that a borrow request is sent to the owner, and returns the
+// request.
 func (b *Borrower) StartBorrowing(now time.Time, customer string) Request {
 	a := b.account(now, customer)
-	r := Request{Want: a.want(), Spent: a.spent}
-	a.asking, a.waiting, a.spent = true, 0, 0
+	r := Request{Want: a.tokensWanted(), Spent: a.unreported}
+	a.borrowing, a.waiting, a.unreported = true, 0, 0
 	return r
 }
 
-// ApplyGrant takes over what was lent on a request sent at a time: the lease counts from
-// then, as it may have been lent that early.
+// ApplyGrant applies the grant for a borrow request that was sent at the given time. The
+// lease counts from then, as the tokens may have been lent that early.
 func (b *Borrower) ApplyGrant(now, sent time.Time, customer string, r Request, g Grant) {
 	a := b.account(now, customer)
-	a.asking, a.unreached = false, time.Time{}
+	a.borrowing, a.unreachableUntil = false, time.Time{}
 	if g.FromStandby {
-		a.spent += r.Spent + g.Tokens
+		a.unreported += r.Spent + g.Tokens
 	}
 	if g.Tokens == 0 {
-		a.quiet = now.Add(min(max(g.After, leastQuiet), Lease))
+		a.emptyUntil = now.Add(min(max(g.After, minEmptyTime), Lease))
 		return
 	}
-	if !now.Before(a.until) {
-		a.lent = 0
+	if !now.Before(a.leaseUntil) {
+		a.leased = 0
 	}
-	a.lent += g.Tokens
-	a.until = sent.Add(Lease)
+	a.leased += g.Tokens
+	a.leaseUntil = sent.Add(Lease)
 }
 
-// leastQuiet is the least time for which a node takes it that a home has nothing to lend.
-const leastQuiet = 20 * time.Millisecond
+// minEmptyTime is the minimum time for which a node assumes that an owner has no tokens
+// to lend.
+const minEmptyTime = 20 * time.Millisecond
 
-// unreachedMemory is the time after a question without an answer in which requests go by
-// the reserve, without a further question: each costs the time of one.
-const unreachedMemory = 300 * time.Millisecond
+// unreachableTTL is how long after a borrow request without a response the node uses its
+// local reserve without sending another one. Each costs a request the time of a timeout.
+const unreachableTTL = 300 * time.Millisecond
 
-// OwnerUnreachable notes that neither the home nor its deputy answered a request.
+// OwnerUnreachable records that neither the owner nor the standby responded to a borrow
+// request.
 func (b *Borrower) OwnerUnreachable(now time.Time, customer string, r Request) {
 	a := b.account(now, customer)
-	a.asking, a.unreached = false, now.Add(unreachedMemory)
-	a.spent += r.Spent
+	a.borrowing, a.unreachableUntil = false, now.Add(unreachableTTL)
+	a.unreported += r.Spent
 }
 
-// Return gives back the token of a request that did not run, if its lease goes on.
+// Return returns the token of a request that did not run, if its lease has not expired.
 func (b *Borrower) Return(now time.Time, customer string) {
-	if a, ok := b.customers[customer]; ok && now.Before(a.until) {
-		a.lent++
+	if a, ok := b.customers[customer]; ok && now.Before(a.leaseUntil) {
+		a.leased++
 	}
 }
 
-// idleAccount is the time after which an account without requests is forgotten: the reserve
-// of a limit is full again long before.
-const idleAccount = time.Minute
+// accountIdleTimeout is the time after which an account without requests is removed. The
+// reserve of any limit is full again long before.
+const accountIdleTimeout = time.Minute
 
-// Sweep forgets what is of no use any more.
+// Sweep removes idle accounts.
 func (b *Borrower) Sweep(now time.Time) {
 	for name, a := range b.customers {
-		if !a.asking && now.Sub(a.at) > idleAccount {
+		if !a.borrowing && now.Sub(a.demandAt) > accountIdleTimeout {
 			delete(b.customers, name)
 		}
 	}
--- a/internal/quota/doc.go
+++ b/internal/quota/doc.go
@@ -1,27 +1,29 @@
-// Package quota bounds the requests of a customer over all nodes without shared state.
+// Package quota limits the requests of a customer over all nodes without shared state.
 //
-// Each customer has one home, chosen alike by all nodes. The home's Lender keeps a token
-// bucket and lends tokens in batches for a short time; a Borrower on each other node spends
-// them, one a request. A batch covers what the node expects within a lease, so a customer
-// of many requests costs a few messages a second and node, however uneven they come.
+// Each customer has one owner, which all nodes determine in the same way. The owner's
+// Lender keeps a token bucket and lends tokens in batches for a short time (Lease). A
+// Borrower on each other node spends them, one per request. A batch covers the requests
+// that the node expects within part of a lease, so that a busy customer costs a few
+// messages a second and node, however irregular its requests.
 //
-// The invariant: what is sent in a window of length w is at most the rate times w plus one
-// lease, plus the burst, plus the reserve of the nodes that cannot reach the home. A lease
-// that was not spent is lost, so that a node which froze, or was cut off, holds nothing
-// that has been given to others meanwhile. A home that starts lends from an empty bucket.
+// The invariant: the number of requests admitted in a window of length w is at most the
+// rate times w plus one lease, plus the burst, plus the local reserves of the nodes that
+// can't reach the owner. Tokens that were not spent within their lease are lost, so that
+// a node that was paused or partitioned holds no tokens that have been lent to others in
+// the meantime. A new owner starts with an empty bucket.
 //
-// The package is pure: time and randomness are passed in, and nothing is safe for
+// The package is pure: time and randomness are passed in. Nothing in it is safe for
 // concurrent use.
 package quota
 
 import "time"
 
-// Limit is what a customer may send over all nodes.
+// Limit is the limit of a customer over all nodes.
 type Limit struct {
-	Rate  float64 // requests per second, over 0
-	Burst float64 // requests that may come beyond the rate at once
+	Rate  float64 // requests per second, above 0
+	Burst float64 // requests admitted at once beyond the rate
 }
 
-// Lease is how long lent tokens may be spent. Longer costs fewer messages, shorter loses
-// less with a node and keeps the sum nearer to the limit.
+// Lease is how long lent tokens may be spent. A longer lease costs fewer messages; a
+// shorter one loses fewer tokens with a node and keeps the total closer to the limit.
 const Lease = time.Second
--- a/internal/quota/lender.go
+++ b/internal/quota/lender.go
@@ -5,103 +5,107 @@
 	"time"
 )
 
-// Lender lends the tokens of the customers whose home a node is.
+// Lender lends the tokens of the customers that a node owns.
 type Lender struct {
-	customers map[string]*loans
+	customers map[string]*customerBucket
 }
 
-// loans are what a home knows of one customer.
-type loans struct {
+// customerBucket is an owner's state for one customer.
+type customerBucket struct {
 	bucket
-	asks   float64 // smoothed questions per second
-	asksAt time.Time
+	borrowRate   float64 // smoothed borrow requests per second
+	borrowRateAt time.Time
 }
 
 // NewLender returns a lender that has lent nothing.
-func NewLender() *Lender { return &Lender{customers: make(map[string]*loans)} }
+func NewLender() *Lender { return &Lender{customers: make(map[string]*customerBucket)} }
 
-// Grant is what a home lends.
+// Grant is the response to a borrow request.
 type Grant struct {
 	Tokens int           `cbor:"1,keyasint"`
-	After  time.Duration `cbor:"2,keyasint"` // until there may be more, if it lent none
-	// FromStandby says that the deputy lent them, as it did not reach the home either. Whoever
-	// spends them tells the home of it.
+	After  time.Duration `cbor:"2,keyasint"` // until a token may be available, if none was lent
+	// FromStandby reports whether the standby lent the tokens because it couldn't reach
+	// the owner either. The borrower reports them in its next request that reaches the
+	// owner.
 	FromStandby bool `cbor:"3,keyasint,omitempty"`
 }
 
-// fairShare is the part of what is left that one request for tokens may take, as a divisor:
-// the node that asks first leaves something to the others.
-const fairShare = 4
+// fairDivisor gives the share of the remaining tokens that one borrow request may take,
+// as a divisor, so that the first node to ask leaves tokens for the others.
+const fairDivisor = 4
 
-// Request asks for tokens of a customer.
+// Request is a borrow request for tokens of a customer.
 type Request struct {
 	Want int `cbor:"1,keyasint"`
-	// Spent is what the asking node spent of its reserve and of the deputy's tokens, since
-	// it last told the home.
+	// Spent is the number of tokens that the borrower has spent from its local reserve or
+	// got from the standby since it last reported them to the owner.
 	Spent int `cbor:"2,keyasint,omitempty"`
 }
 
-// Lend lends up to as many tokens of a customer as are asked for. since is when this node
-// became its home, if it was not before: what an earlier home may have lent is not lent
-// again.
+// Lend lends up to the requested number of tokens of a customer. since is when this node
+// became the owner. A new bucket starts empty at that time, so that tokens that an
+// earlier owner may have lent are not lent again.
 func (l *Lender) Lend(now, since time.Time, customer string, limit Limit, r Request) Grant {
 	b, ok := l.customers[customer]
 	if !ok {
-		b = &loans{bucket: bucket{limit: limit, at: since}}
+		b = &customerBucket{bucket: bucket{limit: limit, updatedAt: since}}
 		l.customers[customer] = b
 	}
-	b.noteAsk(now)
+	b.countBorrow(now)
 	b.refill(now, limit)
 	b.tokens = max(b.tokens-float64(r.Spent), -max(limit.Burst, limit.Rate))
-	fair := max(int(b.tokens)/fairShare, 1)
+	fair := max(int(b.tokens)/fairDivisor, 1)
 	n := b.take(min(r.Want, fair))
 	if n == 0 {
-		return Grant{After: max(b.wait(), b.turn())}
+		return Grant{After: max(b.wait(), b.retryDelay())}
 	}
 	return Grant{Tokens: n}
 }
 
-// deputyShare is the part of a customer's rate that a deputy lends: the home may lend too, to
-// those who reach it, and a node that ends tells nobody what it spent.
-const deputyShare = 0.75
+// standbyRateFactor is the share of a customer's rate that a standby lends: the owner may
+// be lending to nodes that can reach it, and a node that ends doesn't report what it has
+// spent.
+const standbyRateFactor = 0.75
 
-// LendAsStandby is Lend for a node that does not reach the home. What was spent beside the
-// home is for the home to be told: most of it was lent by the deputy.
+// LendAsStandby is Lend for a node that can't reach the owner. Tokens spent without the
+// owner are reported to the owner and not here: most of them were lent by the standby.
 func (l *Lender) LendAsStandby(now time.Time, customer string, limit Limit, want int) Grant {
-	limit.Rate *= deputyShare
+	limit.Rate *= standbyRateFactor
 	g := l.Lend(now, now, customer, limit, Request{Want: want})
 	g.FromStandby = true
 	return g
 }
 
-// askMemory is the time after which a question counts for a third in their rate.
-const askMemory = time.Second
+// borrowRateDecay is the time after which a borrow request's weight in the rate has
+// fallen to a third.
+const borrowRateDecay = time.Second
 
-func (l *loans) noteAsk(now time.Time) {
-	fade := math.Exp(-max(now.Sub(l.asksAt).Seconds(), 0) / askMemory.Seconds())
-	l.asks = l.asks*fade + 1/askMemory.Seconds()
-	l.asksAt = now
+func (l *customerBucket) countBorrow(now time.Time) {
+	fade := math.Exp(-max(now.Sub(l.borrowRateAt).Seconds(), 0) / borrowRateDecay.Seconds())
+	l.borrowRate = l.borrowRate*fade + 1/borrowRateDecay.Seconds()
+	l.borrowRateAt = now
 }
 
-// turnTime is how long a node waits for its turn where as many questions come as tokens.
-const turnTime = 100 * time.Millisecond
+// retryDelayUnit is the delay after an empty grant when as many borrow requests arrive as
+// there are tokens.
+const retryDelayUnit = 100 * time.Millisecond
 
-// turn is when a node that gets nothing may ask again. Nodes that all have too much of a
-// customer would each ask as soon as a token may have come; the more questions there are for
-// each token, the longer they wait.
-func (l *loans) turn() time.Duration {
-	return time.Duration(min(l.asks/l.limit.Rate*turnTime.Seconds(), Lease.Seconds()) * float64(time.Second))
+// retryDelay returns when a node that got no tokens may ask again. If many nodes have too
+// many requests of a customer, each would ask as soon as a token may be available. The
+// more borrow requests there are per token, the longer the nodes wait.
+func (l *customerBucket) retryDelay() time.Duration {
+	return time.Duration(min(l.borrowRate/l.limit.Rate*retryDelayUnit.Seconds(), Lease.Seconds()) * float64(time.Second))
 }
 
-// Paused notes that this node stood still: others may have lent meanwhile what its
-// buckets would have gained.
+// Paused records that this process was paused: other nodes may have lent in the meantime
+// what its buckets would have gained.
 func (l *Lender) Paused(now time.Time) {
 	for _, b := range l.customers {
-		b.tokens, b.at = min(b.tokens, 0), now
+		b.tokens, b.updatedAt = min(b.tokens, 0), now
 	}
 }
 
-// Tokens returns what is left of a customer; 0 if nothing was lent of it here.
+// Tokens returns the remaining tokens of a customer; 0 if none were lent here.
 func (l *Lender) Tokens(now time.Time, customer string) float64 {
 	b, ok := l.customers[customer]
 	if !ok {
@@ -111,7 +115,7 @@
 	return b.tokens
 }
 
-// Keep forgets the customers that are not to be kept.
+// Keep removes the customers for which keep returns false.
 func (l *Lender) Keep(keep func(customer string) bool) {
 	for name := range l.customers {
 		if !keep(name) {
