--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -1,10 +1,10 @@
-// Package retry classifies how a try ended and decides whether another one
-// may follow.
+// Package retry classifies how a try ended and decides whether another one may follow. A
+// try is a node's request to one upstream; a caller's attempt may take several.
 //
-// The classes group failures by whether the upstream may have run the request,
-// as proposed in "What Changes in Client Retry Logic When the API Holds State":
-// never dispatched, rejected and limited are known not to have run, and only
-// the rest is ambiguous. Package retry is pure.
+// The classes group failures by whether the upstream may have run the request, as
+// proposed in "What Changes in Client Retry Logic When the API Holds State". For
+// NeverDispatched, Refused, Limited and Rejected it is known that the request did not
+// run; only Ambiguous leaves it open. The package is pure.
 package retry
 
 import "time"
@@ -14,27 +14,27 @@
 
 // The classes.
 const (
-	// Answered means that the upstream's answer is there, whatever its status.
+	// Answered means that the upstream responded, whatever the status.
 	Answered Class = iota
 	// NeverDispatched means that no byte of the request reached the upstream.
 	NeverDispatched
-	// Refused means that the upstream's node said that it was not run.
+	// Refused means that the upstream's node reported that the request was not run.
 	Refused
 	// Limited is Refused because of overload or a limit.
 	Limited
-	// Rejected means that the upstream itself got it and said that it was not run.
+	// Rejected means that the upstream itself received the request and reported that it
+	// was not run.
 	Rejected
-	// Ambiguous means that it may have run.
+	// Ambiguous means that the request may have run.
 	Ambiguous
 )
 
 var classNames = [...]string{"answered", "never-dispatched", "refused", "limited", "rejected", "ambiguous"}
 
-// String returns the class in the form used in headers and metrics.
+// String returns the name of the class, as used in headers and metrics.
 func (c Class) String() string { return classNames[min(c, Ambiguous)] }
 
-// ParseClass returns the class with the given name, and Answered for any other
-// text.
+// ParseClass returns the class of a name, and Answered for any other text.
 func ParseClass(name string) Class {
 	for i, n := range classNames {
 		if n == name {
@@ -47,33 +47,34 @@
 // NotRun reports whether the request is known not to have run.
 func (c Class) NotRun() bool { return c != Answered && c != Ambiguous }
 
-// MayHaveReachedUpstream reports whether the request may have reached an upstream, and so
-// counts against the budget and the number of tries.
+// MayHaveReachedUpstream reports whether the request may have reached an upstream. With
+// Policy.FreeTries only such tries count against the retry budget and the number of tries.
 func (c Class) MayHaveReachedUpstream() bool { return c == Answered || c == Rejected || c == Ambiguous }
 
-// Policy holds the numbers of the decision.
+// Policy holds the parameters of the decision.
 type Policy struct {
-	// Ratio is the number of retries earned by each first try. More rides out
-	// more faults, less adds less load in an overload. Default 0.1.
+	// Ratio is the number of retries that each first try adds to the budget. A higher
+	// ratio masks more failures, a lower one adds less load during an overload. Default
+	// 0.1.
 	Ratio float64
-	// Reserve is the largest number of retries saved up. Default 10.
+	// Reserve is the maximum number of retries in the budget. Default 10.
 	Reserve float64
-	// MinRemaining is the time that must be left for another try. Default 5 ms.
+	// MinRemaining is the minimum time until the deadline for another try. Default 5 ms.
 	MinRemaining time.Duration
-	// FreeTries is the number of tries, beyond the allowed ones, that may end at
-	// a node before they reach an upstream. They cost no budget, as they add no
-	// load to the upstreams. More finds room in more places, fewer hands a
-	// request around less. Default 0: every try counts alike.
+	// FreeTries is the number of additional tries that may end at a node before they
+	// reach an upstream. They aren't charged to the budget, as they add no load to the
+	// upstreams. A higher number finds free capacity at more upstreams, a lower one
+	// forwards a request fewer times. Default 0: every try counts.
 	FreeTries int
 }
 
-// DefaultPolicy returns the defaults given at the fields.
+// DefaultPolicy returns the default values documented at the fields.
 func DefaultPolicy() Policy {
 	return Policy{Ratio: 0.1, Reserve: 10, MinRemaining: 5 * time.Millisecond}
 }
 
-// Budget limits the retries of one node to a share of its first tries, so that
-// retries cannot amplify an overload. Not safe for concurrent use.
+// Budget limits the retries of one node to a share of its first tries, so that retries
+// can't amplify an overload. It is not safe for concurrent use.
 type Budget struct {
 	policy Policy
 	tokens float64
@@ -82,28 +83,31 @@
 // NewBudget returns a full budget.
 func NewBudget(p Policy) *Budget { return &Budget{policy: p, tokens: p.Reserve} }
 
-// Deposit counts a first try.
+// Deposit adds Policy.Ratio for a first try.
 func (b *Budget) Deposit() { b.tokens = min(b.tokens+b.policy.Ratio, b.policy.Reserve) }
 
-// Try is a failed try that asks for another.
+// Try is a failed try and the state of its request, for which Decide decides on another
+// try.
 type Try struct {
 	Class      Class
 	Idempotent bool
-	// Arrived counts the tries that may have reached an upstream. While it is 0
-	// another try adds nothing to the load of the upstreams.
+	// Arrived is the number of tries that may have reached an upstream. While it is 0,
+	// another try adds no load to the upstreams.
 	Arrived int
-	// Number counts the tries made, from 1; Retries is the most further ones.
+	// Number is the number of tries made, including this one; Retries is the maximum
+	// number of further ones.
 	Number  int
 	Retries int
-	// Remaining is the time until the request's deadline.
+	// Remaining is the time until the deadline of the request.
 	Remaining time.Duration
-	// Replayable says that the request body can be sent again.
+	// Replayable reports whether the request body can be sent again.
 	Replayable bool
-	// RefusedEverywhere says that all upstreams would refuse the request alike.
+	// RefusedEverywhere reports whether every upstream would refuse the request for the
+	// same reason.
 	RefusedEverywhere bool
 }
 
-// Reason says why no further try is made.
+// Reason is the reason why no further try is made; empty if one may be.
 type Reason string
 
 // The reasons.
@@ -115,14 +119,14 @@
 	ReasonTime   Reason = "no-time"
 	ReasonBody   Reason = "body-gone"
 	ReasonBudget Reason = "budget"
-	// ReasonEverywhere means that no upstream would take it.
+	// ReasonEverywhere means that every upstream would refuse the request.
 	ReasonEverywhere Reason = "refused-everywhere"
-	// ReasonNoUpstream is given by the caller of Again: there is no upstream
-	// left to try.
+	// ReasonNoUpstream is used by callers of Decide when no untried upstream is left.
 	ReasonNoUpstream Reason = "no-upstream"
 )
 
-// Decide decides whether another try may follow, and takes it from the budget.
+// Decide returns Allowed if another try may follow, and then withdraws it from the budget
+// unless it is free.
 func (b *Budget) Decide(t Try) Reason {
 	switch {
 	case t.Class == Answered:
@@ -145,7 +149,7 @@
 	return Allowed
 }
 
-// exhausted reports whether no try is left by their number.
+// exhausted reports whether the maximum number of tries has been made.
 func (b *Budget) exhausted(t Try) bool {
 	if b.policy.FreeTries == 0 {
 		return t.Number > t.Retries
@@ -153,10 +157,10 @@
 	return t.Arrived > t.Retries || t.Number > t.Retries+b.policy.FreeTries
 }
 
-// Return gives back a retry that was taken and not made.
+// Return refunds a retry that was withdrawn but not made.
 func (b *Budget) Return() { b.tokens = min(b.tokens+1, b.policy.Reserve) }
 
-// Withdraw takes one retry, and reports whether one was left.
+// Withdraw takes one retry from the budget and reports whether there was one.
 func (b *Budget) Withdraw() bool {
 	if b.tokens < 1 {
 		return false
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -9,11 +9,11 @@
 	"pgregory.net/rapid"
 )
 
-func goodTry() Try {
+func retryableTry() Try {
 	return Try{Class: Refused, Number: 1, Retries: 1, Remaining: time.Second, Replayable: true}
 }
 
-func TestAgain(t *testing.T) {
+func TestDecide(t *testing.T) {
 	cases := []struct {
 		name   string
 		change func(*Try)
@@ -32,42 +32,41 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			try := goodTry()
+			try := retryableTry()
 			c.change(&try)
 			assert.Equal(t, NewBudget(DefaultPolicy()).Decide(try), c.want)
 		})
 	}
 }
 
-// Whatever happens, retries stay below a tenth of the first tries and the
-// reserve, and a request that may have run is tried again only if idempotent.
+// Retries never exceed a tenth of the first tries plus the reserve, and a request that
+// may have run is only retried if it is idempotent.
 func TestBudgetBoundsRetries(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := DefaultPolicy()
 		b := NewBudget(p)
-		first, again := 0, 0
+		first, retries := 0, 0
 		t.Repeat(map[string]func(*rapid.T){
 			"first": func(*rapid.T) { b.Deposit(); first++ },
 			"fail": func(t *rapid.T) {
-				try := goodTry()
+				try := retryableTry()
 				try.Class = Class(rapid.IntRange(0, int(Ambiguous)).Draw(t, "class"))
 				try.Idempotent = rapid.Bool().Draw(t, "idempotent")
 				if b.Decide(try) == Allowed {
-					again++
+					retries++
 					assert.Assert(t, try.Class.NotRun() || try.Idempotent)
 				}
 			},
 			"": func(t *rapid.T) {
-				assert.Assert(t, float64(again) <= p.Reserve+p.Ratio*float64(first)+1e-9)
+				assert.Assert(t, float64(retries) <= p.Reserve+p.Ratio*float64(first)+1e-9)
 			},
 		})
 	})
 }
 
-// chain counts the tries at the bottom of a chain of services when the last
-// one refuses everything. Each level tries again only refusals of the level
-// right below, as only those carry a class; what a service answers because its
-// own call failed is an answer.
+// chain returns the number of tries at the end of a chain of services whose last one
+// refuses every request. Only a refusal by the next level carries a class and is retried.
+// If marked, the response of a service whose own call failed counts as an answer.
 func chain(levels int, marked bool) int {
 	bottom := 0
 	var call func(level int) Class
@@ -79,7 +78,7 @@
 		b := NewBudget(Policy{Ratio: 1, Reserve: math.Inf(1), MinRemaining: 0})
 		for n := 1; ; n++ {
 			c := call(level + 1)
-			try := goodTry()
+			try := retryableTry()
 			try.Class, try.Number = c, n
 			if b.Decide(try) != Allowed {
 				if marked && level > 0 {
@@ -95,7 +94,7 @@
 
 func TestOnlyOneOfNineteenLevelsRetries(t *testing.T) {
 	assert.Equal(t, chain(19, true), 2)
-	// Without the marking every level doubles the load.
+	// Unmarked, every level passes the class on and doubles the load.
 	assert.Equal(t, chain(10, false), 1<<10)
 }
 
