--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -1,14 +1,14 @@
-// Package ledger keeps a non-idempotent request with a key from running twice.
+// Package ledger prevents a non-idempotent request with an idempotency key from running
+// twice.
 //
-// Each key has one home among the upstreams of its service, computed from the
-// table alone (Home). The node beside the home keeps, in memory, what became
-// of each key. What it cannot know, because it started after the key may have
-// been used, it says so instead of running the request. The package is pure:
-// time is passed in.
+// Each key has one owner among the upstreams of its service, computed from the table
+// alone (Owner). The node beside the owner keeps the outcome of each key in memory. If it
+// can't know the outcome, because it started after the key may have been used, it reports
+// that instead of running the request. The package is pure: time is passed in.
 //
-// The scheme follows the three outcomes of "What Changes in Client Retry Logic
-// When the API Holds State": an attempt is pending, done or unknown, and
-// unknown is never folded into one of the others.
+// The design follows the three outcomes of "What Changes in Client Retry Logic When the
+// API Holds State": an attempt is pending, done or unknown, and unknown is never treated
+// as one of the others.
 package ledger
 
 import (
@@ -20,29 +20,29 @@
 	"github.com/walldrift/walldrift/internal/version"
 )
 
-// Config bounds a ledger.
+// Config holds the parameters of a ledger.
 type Config struct {
-	// Window is how long a key is remembered after its request ended, and how
-	// long a started node refuses keys that carry no time. Longer covers later
-	// repeats, shorter frees memory and serves sooner after a restart.
-	// Default 2 min.
+	// Window is how long a key is remembered after its request ended, and how long a node
+	// refuses keys without a creation time after it started. A longer window covers later
+	// repeats; a shorter one needs less memory and serves such keys sooner after a
+	// restart. Default 2 min.
 	Window time.Duration
-	// Skew is the largest difference of clocks between callers and nodes that
-	// is allowed for in keys that carry their time. Default 2 s.
+	// Skew is the largest clock difference between callers and nodes that is tolerated
+	// for keys with a creation time. Default 2 s.
 	Skew time.Duration
-	// Settle is the time within which every node that is not cut off holds a
-	// version that one node holds. Default 16 s, the bound on convergence.
+	// Settle is the time within which every node that isn't partitioned has a table
+	// version that one node has. Default 16 s, the bound on convergence.
 	Settle time.Duration
-	// MaxEntries bounds the keys kept; when all are in use, new keys are
-	// refused. Default 32768.
+	// MaxEntries bounds the number of keys; when it is reached new keys are refused.
+	// Default 32768.
 	MaxEntries int
-	// MaxAnswer is the longest answer body kept for repeats. Default 4 KiB.
+	// MaxAnswer is the largest response body kept for repeats, in bytes. Default 4 KiB.
 	MaxAnswer int
-	// MaxAnswers bounds the bytes of all answers kept. Default 4 MiB.
+	// MaxAnswers bounds the size of all bodies kept, in bytes. Default 4 MiB.
 	MaxAnswers int
 }
 
-// DefaultConfig returns the defaults given at the fields.
+// DefaultConfig returns the default values documented at the fields.
 func DefaultConfig() Config {
 	return Config{
 		Window:     2 * time.Minute,
@@ -61,7 +61,8 @@
 	Value   string // the caller's Idempotency-Key
 }
 
-// CreatedAt returns the time in a key that carries one: a version 7 UUID, RFC 9562.
+// CreatedAt returns the creation time of a key that has one, which is a version 7 UUID
+// (RFC 9562).
 func (k Key) CreatedAt() (time.Time, bool) {
 	id, err := uuid.Parse(k.Value)
 	if err != nil || id.Version() != 7 {
@@ -76,39 +77,39 @@
 
 // The decisions.
 const (
-	// Run means that the request is new; the caller must end it with Finish.
+	// Run means that the request is new. The caller must end it with Finish.
 	Run Decision = iota
-	// Replay means that it has run; Answer holds the answer if it was kept.
+	// Replay means that the request has run; Answer holds the response if it was kept.
 	Replay
-	// InProgress means that it is running now.
+	// InProgress means that the request is running now.
 	InProgress
-	// Unknown means that it was started and its outcome is not known.
+	// Unknown means that the request was started and its outcome is unknown.
 	Unknown
-	// PriorUnknown means that this attempt was not run, and that an earlier one
-	// may have been, before this node began to remember.
+	// PriorUnknown means that this attempt was not run, and that an earlier one may have
+	// been, before this node's records begin.
 	PriorUnknown
-	// Moved means that another home has taken the key over.
+	// Moved means that another owner has taken over the key.
 	Moved
 	// Conflict means that the key was used for a different request.
 	Conflict
-	// Future means that the key's time lies ahead of this node's clock.
+	// Future means that the key's creation time is ahead of this node's clock.
 	Future
 	// Full means that no more keys can be remembered now.
 	Full
 )
 
-// String returns the decision in the form used in headers and metrics.
+// String returns the name of the decision, as used in headers and metrics.
 func (d Decision) String() string {
 	return [...]string{"run", "replay", "in-progress", "unknown", "prior-unknown",
 		"moved", "conflict", "future", "full"}[min(d, Full)]
 }
 
-// Answer is an answer kept for repeats.
+// Answer is a response kept for repeats.
 type Answer struct {
 	Status int
 	Header map[string][]string
 	Body   []byte
-	// Kept is false if the body was too long to keep.
+	// Kept is false if the body was too large to keep.
 	Kept bool
 }
 
@@ -130,8 +131,8 @@
 	fence       Fence // of a fenced entry
 }
 
-// Fence names the later home that took a key over, and the table version that
-// made it one.
+// Fence names the later owner that took over a key, and the table version that made it
+// the owner.
 type Fence struct {
 	Home    string
 	Version version.ID
@@ -139,11 +140,11 @@
 
 // Ledger remembers keys. It is not safe for concurrent use.
 type Ledger struct {
-	cfg     Config
-	started time.Time
-	entries map[Key]*list.Element // of *entry
-	order   *list.List            // ended entries, oldest first
-	answers int                   // bytes of answers kept
+	cfg         Config
+	started     time.Time
+	entries     map[Key]*list.Element // of *entry
+	order       *list.List            // entries by the time they ended, oldest first; running ones by their start
+	answerBytes int                   // size of the bodies kept
 }
 
 // New returns an empty ledger of a node that started at the given time.
@@ -154,22 +155,22 @@
 // Len returns the number of keys remembered.
 func (l *Ledger) Len() int { return len(l.entries) }
 
-// Verdict is the answer to Begin and Claim.
+// Verdict is the result of Begin, Claim and ClaimFromOthers.
 type Verdict struct {
 	Decision Decision
 	Answer   *Answer // of Replay, if it was kept
-	// AlsoClaimFrom names another home that took the key over before and must be asked
-	// as well; empty if none did.
+	// AlsoClaimFrom names another owner that took over the key before and must be sent a
+	// claim, too; empty if there is none.
 	AlsoClaimFrom string
 }
 
-// Begin decides about a request at its home. fingerprint tells different
-// requests apart; held is the table version that makes this node the home.
+// Begin decides about a request at its owner. fingerprint distinguishes different
+// requests with the same key; held is the table version that makes this node the owner.
 func (l *Ledger) Begin(now time.Time, k Key, fingerprint uint64, held version.ID) Verdict {
 	l.expire(now)
 	el, ok := l.entries[k]
 	if !ok {
-		if d := l.unseen(now, k); d != Run {
+		if d := l.decideUnseen(now, k); d != Run {
 			return Verdict{Decision: d}
 		}
 		l.insert(&entry{key: k, fingerprint: fingerprint, state: running})
@@ -177,10 +178,10 @@
 	}
 	e := el.Value.(*entry)
 	if e.state == fenced && held.Newer(e.fence.Version) {
-		// A later version has made this node the home again.
-		ask := e.fence.Home
+		// A later version has made this node the owner again.
+		previous := e.fence.Home
 		*e = entry{key: k, fingerprint: fingerprint, state: running}
-		return Verdict{Decision: Run, AlsoClaimFrom: ask}
+		return Verdict{Decision: Run, AlsoClaimFrom: previous}
 	}
 	if e.state != fenced && e.fingerprint != fingerprint {
 		return Verdict{Decision: Conflict}
@@ -188,18 +189,18 @@
 	return e.verdict()
 }
 
-// Claim is asked by another home of the key. Moved means that the key did not
-// run here and will not while the fence stands.
+// Claim handles the claim of another owner of the key. Moved means that the key did not
+// run here and won't while the fence stands.
 func (l *Ledger) Claim(now time.Time, k Key, f Fence) Verdict {
 	l.expire(now)
 	el, ok := l.entries[k]
 	if !ok {
-		if d := l.unseen(now, k); d != Run {
+		if d := l.decideUnseen(now, k); d != Run {
 			return Verdict{Decision: d}
 		}
 		e := &entry{key: k, state: fenced, fence: f}
 		l.insert(e)
-		l.end(now, e)
+		l.markEnded(now, e)
 		return Verdict{Decision: Moved}
 	}
 	e := el.Value.(*entry)
@@ -207,27 +208,27 @@
 		return e.verdict()
 	}
 	if e.fence.Version.Newer(f.Version) {
-		return Verdict{Decision: PriorUnknown} // the claimant is behind
+		return Verdict{Decision: PriorUnknown} // the claimant has an older table version
 	}
 	v := e.verdict()
 	if e.fence.Home != f.Home {
 		v.AlsoClaimFrom = e.fence.Home
 	}
 	e.fence = f
-	l.end(now, e)
+	l.markEnded(now, e)
 	return v
 }
 
-// unseen decides about a key that is not remembered: Run only if it cannot
-// have been used before.
-func (l *Ledger) unseen(now time.Time, k Key) Decision {
-	birth, timed := k.CreatedAt()
+// decideUnseen decides about a key that is not remembered: Run only if it can't have been
+// used before.
+func (l *Ledger) decideUnseen(now time.Time, k Key) Decision {
+	created, timed := k.CreatedAt()
 	switch {
-	case timed && birth.After(now.Add(l.cfg.Skew)):
+	case timed && created.After(now.Add(l.cfg.Skew)):
 		return Future
-	case timed && birth.Before(now.Add(-l.cfg.Window)):
+	case timed && created.Before(now.Add(-l.cfg.Window)):
 		return PriorUnknown // older than anything remembered
-	case timed && birth.Before(l.started.Add(l.cfg.Skew)):
+	case timed && created.Before(l.started.Add(l.cfg.Skew)):
 		return PriorUnknown
 	case !timed && now.Before(l.started.Add(l.cfg.Window)):
 		return PriorUnknown
@@ -242,11 +243,12 @@
 
 // The outcomes.
 const (
-	// NotRun means that the upstream certainly did not run it; the key is free.
+	// NotRun means that the upstream certainly did not run the request; the key may be
+	// used again.
 	NotRun Outcome = iota
-	// Done means that it ran and was answered.
+	// Done means that the request ran and was answered.
 	Done
-	// OutcomeUnknown means that it may have run.
+	// OutcomeUnknown means that the request may have run.
 	OutcomeUnknown
 )
 
@@ -264,35 +266,34 @@
 		return
 	case Done:
 		e.state = done
-		e.answer = l.keep(a)
+		e.answer = l.keepAnswer(a)
 	case OutcomeUnknown:
 		e.state = unknown
 	}
-	l.end(now, e)
+	l.markEnded(now, e)
 }
 
-// keep bounds the memory of answers: a body beyond the bounds is dropped, its
-// status stays.
-func (l *Ledger) keep(a *Answer) *Answer {
+// keepAnswer applies the size limits: a body beyond them is dropped, its status is kept.
+func (l *Ledger) keepAnswer(a *Answer) *Answer {
 	if a == nil {
 		return nil
 	}
-	if !a.Kept || len(a.Body) > l.cfg.MaxAnswer || l.answers+len(a.Body) > l.cfg.MaxAnswers {
+	if !a.Kept || len(a.Body) > l.cfg.MaxAnswer || l.answerBytes+len(a.Body) > l.cfg.MaxAnswers {
 		return &Answer{Status: a.Status}
 	}
-	l.answers += len(a.Body)
+	l.answerBytes += len(a.Body)
 	return a
 }
 
 func (l *Ledger) insert(e *entry) { l.entries[e.key] = l.order.PushBack(e) }
 
-// end stamps an entry and moves it to the end of the expiry order.
-func (l *Ledger) end(now time.Time, e *entry) {
+// markEnded sets the end time of an entry and moves it to the end of the expiry order.
+func (l *Ledger) markEnded(now time.Time, e *entry) {
 	e.ended = now
 	l.order.MoveToBack(l.entries[e.key])
 }
 
-// expire forgets entries whose window has passed. Running ones never expire.
+// expire removes entries whose window has passed. Running ones never expire.
 func (l *Ledger) expire(now time.Time) {
 	for el := l.order.Front(); el != nil; {
 		next := el.Next()
@@ -302,7 +303,7 @@
 				return
 			}
 			if e.answer != nil {
-				l.answers -= len(e.answer.Body)
+				l.answerBytes -= len(e.answer.Body)
 			}
 			l.order.Remove(el)
 			delete(l.entries, e.key)
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -17,7 +17,7 @@
 
 var testConfig = Config{Window: 10 * time.Second, Skew: time.Second, Settle: 8 * time.Second, MaxEntries: 64, MaxAnswer: 8, MaxAnswers: 64}
 
-// timedKey makes a version 7 UUID that was born at the given time.
+// timedKey returns a version 7 UUID with the given creation time.
 func timedKey(at time.Time, n int) Key {
 	var id uuid.UUID
 	ms := uint64(at.UnixMilli())
@@ -28,24 +28,24 @@
 	return Key{Service: "s", Value: id.String()}
 }
 
-func TestBirthOfTimedKey(t *testing.T) {
+func TestCreationTimeOfKey(t *testing.T) {
 	at := time.UnixMilli(1_700_000_000_123)
-	birth, ok := timedKey(at, 1).CreatedAt()
+	created, ok := timedKey(at, 1).CreatedAt()
 	assert.Assert(t, ok)
-	assert.Equal(t, birth.UnixMilli(), at.UnixMilli())
+	assert.Equal(t, created.UnixMilli(), at.UnixMilli())
 	_, ok = Key{Value: "order-77"}.CreatedAt()
 	assert.Assert(t, !ok)
 }
 
-// testHome is a node that may be the home of keys.
-type testHome struct {
+// testOwner is a node that may own keys.
+type testOwner struct {
 	name    string
 	ledger  *Ledger
 	history *OwnerHistory
 	snap    *snapshot.Snapshot
 }
 
-// weightsTable makes the table of one service with the given weights.
+// weightsTable builds the table of one service with the given upstream weights.
 func weightsTable(edition int, weights []int) *snapshot.Snapshot {
 	raw := ""
 	for i, c := range table.Header {
@@ -65,9 +65,9 @@
 	return s
 }
 
-// begin does what the proxy does: it asks the ledger, then the earlier homes,
-// and those that they name. cut tells which homes cannot be reached.
-func (h *testHome) begin(now time.Time, k Key, homes map[string]*testHome, cut func(string) bool) Decision {
+// begin does what the proxy does: it asks the ledger, then the earlier owners, and those
+// that they name. cut reports whether an owner is unreachable.
+func (h *testOwner) begin(now time.Time, k Key, owners map[string]*testOwner, cut func(string) bool) Decision {
 	v := h.ledger.Begin(now, k, 1, h.snap.ID)
 	if v.Decision != Run {
 		return v.Decision
@@ -79,9 +79,9 @@
 	fence := Fence{Home: h.name, Version: h.snap.ID}
 	v = ClaimFromOthers(h.name, ask, func(name string) (Verdict, error) {
 		if cut(name) {
-			return Verdict{}, errors.New("cut")
+			return Verdict{}, errors.New("unreachable")
 		}
-		return homes[name].ledger.Claim(now, k, fence), nil
+		return owners[name].ledger.Claim(now, k, fence), nil
 	})
 	if v.Decision != Run {
 		h.ledger.Finish(now, k, NotRun, nil)
@@ -89,24 +89,24 @@
 	return v.Decision
 }
 
-// TestAtMostOnceAcrossHomes lets callers repeat keys through any node while
-// homes restart, tables with other homes come into force node by node, and
-// nodes cannot reach each other. Oracle: a count of runs for each key, never
-// above one.
+// TestAtMostOnceAcrossOwners repeats keys through any node while owners restart, table
+// versions with other owners come into force node by node, and nodes can't reach each
+// other. The oracle is the number of runs of each key, which is never above one.
 //
-// Two limits of the design are kept: a node is never behind by more than the
-// window, and opaque keys are repeated only within the window of their use.
-func TestAtMostOnceAcrossHomes(t *testing.T) {
+// The model respects two limits of the design: a node is never behind by more than the
+// window, and keys without a creation time are only repeated within the window after
+// their use.
+func TestAtMostOnceAcrossOwners(t *testing.T) {
 	runs, refusals, faults := 0, 0, 0
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(10_000, 0)
 		versions := []*snapshot.Snapshot{weightsTable(1, []int{1, 1, 1})}
-		homes := make(map[string]*testHome)
+		owners := make(map[string]*testOwner)
 		var names []string
 		start := func(name string, snap *snapshot.Snapshot) {
-			h := &testHome{name: name, ledger: New(testConfig, now), history: NewOwnerHistory(testConfig), snap: snap}
+			h := &testOwner{name: name, ledger: New(testConfig, now), history: NewOwnerHistory(testConfig), snap: snap}
 			h.history.Add(now, snap)
-			homes[name] = h
+			owners[name] = h
 		}
 		for i := range 3 {
 			names = append(names, fmt.Sprintf("h%d", i))
@@ -119,7 +119,7 @@
 		running := make(map[Key][]string)
 		keys := []Key{timedKey(now, 100), timedKey(now, 101), {Service: "s", Value: "opaque-first"}}
 		name := rapid.SampledFrom(names)
-		catchUp := func(h *testHome, to *snapshot.Snapshot) {
+		catchUp := func(h *testOwner, to *snapshot.Snapshot) {
 			if to.ID.Newer(h.snap.ID) {
 				h.snap = to
 				h.history.Add(now, to)
@@ -130,15 +130,15 @@
 				t.Skip("no keys")
 			}
 			k := rapid.SampledFrom(keys).Draw(t, "key")
-			// The caller's node may be behind or ahead of the home.
+			// The caller's node may have an older or newer version than the owner.
 			view := versions[rapid.IntRange(0, len(versions)-1).Draw(t, "view")]
-			h := homes[Owner(view.Service("s"), k)]
+			h := owners[Owner(view.Service("s"), k)]
 			if Owner(h.snap.Service("s"), k) != h.name {
 				return // refused as moved before the ledger is asked
 			}
 			cutOff := name.Draw(t, "unreachable")
 			isCut := rapid.IntRange(0, 3).Draw(t, "cut") == 0
-			d := h.begin(now, k, homes, func(n string) bool { return isCut && n == cutOff })
+			d := h.begin(now, k, owners, func(n string) bool { return isCut && n == cutOff })
 			if d != Run {
 				refusals++
 				return
@@ -169,18 +169,18 @@
 						if o == NotRun {
 							count[k]--
 						}
-						homes[n].ledger.Finish(now, k, o, &Answer{Status: 200, Kept: true})
+						owners[n].ledger.Finish(now, k, o, &Answer{Status: 200, Kept: true})
 					}
 					delete(running, k)
 				}
 			},
 			"restart": func(t *rapid.T) {
 				faults++
-				n := name.Draw(t, "home")
+				n := name.Draw(t, "owner")
 				for _, k := range keys {
 					running[k] = remove(running[k], n)
 				}
-				// A started node takes the newest table that a peer holds.
+				// A started node gets the newest table that a peer holds.
 				start(n, versions[len(versions)-1])
 			},
 			"edit": func(t *rapid.T) {
@@ -192,17 +192,17 @@
 				versions = append(versions, weightsTable(len(versions)+1, w))
 			},
 			"follow": func(t *rapid.T) {
-				catchUp(homes[name.Draw(t, "home")], versions[rapid.IntRange(0, len(versions)-1).Draw(t, "version")])
+				catchUp(owners[name.Draw(t, "owner")], versions[rapid.IntRange(0, len(versions)-1).Draw(t, "version")])
 			},
 			"time": func(t *rapid.T) {
 				now = now.Add(time.Duration(rapid.IntRange(1, 2500).Draw(t, "ms")) * time.Millisecond)
 				if now.Sub(quiet) > testConfig.Window/2 {
-					// Opaque keys are not repeated after the window, and all nodes
-					// hold every version within seconds.
+					// Opaque keys are not repeated after the window, and all nodes get
+					// every version within seconds.
 					keys = onlyTimed(keys)
 					quiet = now
 					for _, n := range names {
-						catchUp(homes[n], versions[len(versions)-1])
+						catchUp(owners[n], versions[len(versions)-1])
 					}
 				}
 			},
@@ -210,7 +210,7 @@
 				now = now.Add(testConfig.Window + time.Second)
 				keys = onlyTimed(keys)
 				for _, n := range names {
-					catchUp(homes[n], versions[len(versions)-1])
+					catchUp(owners[n], versions[len(versions)-1])
 				}
 			},
 		})
@@ -238,9 +238,9 @@
 	return out
 }
 
-// A node that starts on the newest version has never seen the earlier homes,
-// one of which may still be in force elsewhere: it asks all the others.
-func TestStartedHomeAsksHomesItNeverSaw(t *testing.T) {
+// A node that starts with the newest version has never seen the earlier owners, one of
+// which may still be in force elsewhere. It must send claims to all the others.
+func TestStartedOwnerClaimsFromUnseenOwners(t *testing.T) {
 	now := time.Unix(10_000, 0)
 	old, next := weightsTable(1, []int{1, 0, 0}), weightsTable(2, []int{0, 1, 0})
 	behind, started := New(testConfig, now.Add(-time.Hour)), NewOwnerHistory(testConfig)
@@ -252,12 +252,13 @@
 	assert.Equal(t, len(started.OwnersToClaimFrom(now.Add(testConfig.Settle+3*time.Second), later, "h1")), 0)
 }
 
-// Any home that cannot be asked, or that names one, stops the run.
-func TestAskOthers(t *testing.T) {
-	claim := func(home string) (Verdict, error) {
-		switch home {
-		case "cut":
-			return Verdict{}, errors.New("cut")
+// An owner that is unreachable or has run the key prevents the run, even if only another
+// owner names it.
+func TestClaimFromOthers(t *testing.T) {
+	claim := func(owner string) (Verdict, error) {
+		switch owner {
+		case "unreachable":
+			return Verdict{}, errors.New("unreachable")
 		case "ran":
 			return Verdict{Decision: Replay}, nil
 		case "fenced":
@@ -266,16 +267,16 @@
 		return Verdict{Decision: Moved}, nil
 	}
 	for _, c := range []struct {
-		homes []string
-		want  Decision
+		owners []string
+		want   Decision
 	}{
 		{nil, Run},
 		{[]string{"self", "b", "c"}, Run},
-		{[]string{"b", "cut"}, PriorUnknown},
+		{[]string{"b", "unreachable"}, PriorUnknown},
 		{[]string{"b", "ran"}, Replay},
 		{[]string{"fenced", "b"}, Replay},
 	} {
-		assert.Equal(t, ClaimFromOthers("self", c.homes, claim).Decision, c.want, "%v", c.homes)
+		assert.Equal(t, ClaimFromOthers("self", c.owners, claim).Decision, c.want, "%v", c.owners)
 	}
 }
 
@@ -313,14 +314,14 @@
 		l.Finish(now, k, Done, &Answer{Status: 200, Body: []byte("12345678"), Kept: true})
 	}
 	assert.Equal(t, l.Begin(now, Key{Value: "more"}, 1, version.ID{}).Decision, Full)
-	assert.Assert(t, l.answers <= testConfig.MaxAnswers)
+	assert.Assert(t, l.answerBytes <= testConfig.MaxAnswers)
 	now = now.Add(testConfig.Window + 1)
 	assert.Equal(t, l.Begin(now, Key{Value: "more"}, 1, version.ID{}).Decision, Run)
 	assert.Equal(t, l.Len(), 1)
-	assert.Equal(t, l.answers, 0)
+	assert.Equal(t, l.answerBytes, 0)
 }
 
-func TestHomeMovesOnlyTheChangedShare(t *testing.T) {
+func TestOwnerMovesOnlyTheChangedShare(t *testing.T) {
 	before := weightsTable(1, []int{4, 4, 4}).Service("s")
 	after := weightsTable(2, []int{4, 4, 5}).Service("s")
 	moved, to := 0, 0
