--- a/internal/admission/cold_rate_limit.go
+++ b/internal/admission/cold_rate_limit.go
@@ -18,7 +18,7 @@
 // upstream is warm, too, as it may become cold at any moment.
 type coldRateLimit struct {
 	coldUntil time.Time   // the upstream is cold until then
-	starts    []time.Time // ring of the latest start times, one per request allowed in a second; empty for no limit
+	starts    []time.Time // ring of start times, one per request allowed in a second; empty for no limit
 	oldest    int         // index in starts
 }
 
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -20,7 +20,7 @@
 	ReasonNone        Reason = ""
 	ReasonQueueFull   Reason = "queue-full"   // the queue has no room
 	ReasonTooLate     Reason = "too-late"     // can't finish before its deadline
-	ReasonOutweighed  Reason = "outweighed"   // displaced from the queue by a request of a kind with more weight
+	ReasonOutweighed  Reason = "outweighed"   // displaced by a request of a heavier kind
 	ReasonRate        Reason = "rate"         // rate limit of the table row
 	ReasonConcurrency Reason = "concurrency"  // concurrency limit of the table row
 	ReasonBusy        Reason = "busy"         // no free slot, and the sender prefers to try another upstream
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -143,7 +143,7 @@
 	cfg         Config
 	started     time.Time
 	entries     map[Key]*list.Element // of *entry
-	order       *list.List            // entries by the time they ended, oldest first; running ones by their start
+	order       *list.List            // entries by end time (running: start time), oldest first
 	answerBytes int                   // size of the bodies kept
 }
 
--- a/internal/routing/sample_test.go
+++ b/internal/routing/sample_test.go
@@ -25,7 +25,7 @@
 	speeds       map[string]float64
 	busyUntil    map[string][]time.Time // end times of running requests, by upstream
 	runTimeSigma float64                // standard deviation of the logarithm of run times
-	serviceTimes map[string]float64     // smoothed service time by upstream, in seconds, as in its load reports
+	serviceTimes map[string]float64     // reported smoothed service times by upstream, in seconds
 }
 
 const modelSlots = 11
