--- a/internal/cli/bench.go
+++ b/internal/cli/bench.go
@@ -28,23 +28,23 @@
 	}
 }
 
-const dirHelp = "directory of the plan"
+const planDirHelp = "directory of the plan"
 
 func benchPlan(out IO) *ff.Command {
 	fs := ff.NewFlagSet("plan")
-	dir := fs.StringLong("dir", "", dirHelp)
+	dir := fs.StringLong("dir", "", planDirHelp)
 	layout := fs.StringEnumLong("layout", "kerbline, kestrel or synthetic", "kerbline", "kestrel", "synthetic")
 	targets := fs.IntLong("targets", 32, "targets of a synthetic layout")
 	services := fs.IntLong("services", 4, "services of a synthetic layout")
 	centres := fs.IntLong("centres", 4, "data centres of a synthetic layout")
 	regions := fs.IntLong("regions", 2, "regions of a synthetic layout")
-	rows := fs.IntLong("rows", 0, "rows of upstreams in the table, if more than targets")
+	rows := fs.IntLong("rows", 0, "upstream rows in the table, if more than targets")
 	port := fs.IntLong("port", 20000, "first port")
-	extra := fs.StringListLong("set", "added to every node's settings: section.key=value (repeatable)")
+	overrides := fs.StringListLong("set", "setting added for every node: section.key=value (repeatable)")
 	return &ff.Command{
 		Name:      "plan",
 		Usage:     "walldrift bench plan --dir DIR [--layout L] [--targets N] ...",
-		ShortHelp: "write table, list, keys and settings of a fleet",
+		ShortHelp: "write the table, instance list, keys and settings of a fleet",
 		Flags:     fs,
 		Exec: func(context.Context, []string) error {
 			if *dir == "" {
@@ -54,7 +54,7 @@
 			if err != nil {
 				return err
 			}
-			cfg := bench.PlanConfig{Dir: abs, BasePort: *port, Extra: iniOf(*extra)}
+			cfg := bench.PlanConfig{Dir: abs, BasePort: *port, Extra: iniText(*overrides)}
 			switch *layout {
 			case "kerbline":
 				cfg.Placements, cfg.Table = standin.Kerbline().Placements(), standin.Kerbline().Table()
@@ -74,8 +74,8 @@
 	}
 }
 
-// iniOf turns section.key=value pairs into INI text.
-func iniOf(pairs []string) string {
+// iniText returns section.key=value pairs as INI text.
+func iniText(pairs []string) string {
 	var b strings.Builder
 	for _, p := range pairs {
 		name, value, _ := strings.Cut(p, "=")
@@ -87,7 +87,7 @@
 
 func benchUpstreams(out IO) *ff.Command {
 	fs := ff.NewFlagSet("upstreams")
-	dir := fs.StringLong("dir", "", dirHelp)
+	dir := fs.StringLong("dir", "", planDirHelp)
 	return &ff.Command{
 		Name:      "upstreams",
 		Usage:     "walldrift bench upstreams --dir DIR",
@@ -125,11 +125,11 @@
 
 func benchControl(out IO) *ff.Command {
 	fs := ff.NewFlagSet("control")
-	dir := fs.StringLong("dir", "", dirHelp)
+	dir := fs.StringLong("dir", "", planDirHelp)
 	edits := fs.IntLong("edits", 100, "edits to publish; 0 measures at rest")
 	interval := fs.DurationLong("interval", 200*time.Millisecond, "time between edits")
 	rest := fs.DurationLong("rest", 30*time.Second, "length of a measurement at rest")
-	settle := fs.DurationLong("settle", 16*time.Second, "longest wait for an edit")
+	settle := fs.DurationLong("settle", 16*time.Second, "maximum time to wait until an edit is in force everywhere")
 	return &ff.Command{
 		Name:      "control",
 		Usage:     "walldrift bench control --dir DIR [--edits N] [--interval D]",
@@ -147,19 +147,19 @@
 
 func benchLatency(out IO) *ff.Command {
 	fs := ff.NewFlagSet("latency")
-	dir := fs.StringLong("dir", "", dirHelp)
+	dir := fs.StringLong("dir", "", planDirHelp)
 	service := fs.StringLong("service", "tariff", "service called")
 	path := fs.StringLong("path", "/tariff/x", "path called")
-	part := fs.Float64Long("part", 0.05, "part of the service's slots kept busy, 0 to 1")
-	rounds := fs.IntLong("rounds", 6, "pairs of slices")
+	utilization := fs.Float64Long("part", 0.05, "fraction of the service's slots kept busy, 0 to 1")
+	rounds := fs.IntLong("rounds", 6, "pairs of slices, one through the fleet and one direct")
 	slice := fs.DurationLong("slice", 3*time.Second, "length of one slice")
 	return &ff.Command{
 		Name:      "latency",
 		Usage:     "walldrift bench latency --dir DIR [--part P]",
-		ShortHelp: "compare calls through the fleet with direct ones, in turn",
+		ShortHelp: "compare the latency of calls through the fleet with direct calls, alternately",
 		Flags:     fs,
 		Exec: func(ctx context.Context, _ []string) error {
-			r, err := bench.MeasureLatency(ctx, bench.LatencyConfig{Dir: *dir, Service: *service, Path: *path, Part: *part, Rounds: *rounds, Slice: *slice})
+			r, err := bench.MeasureLatency(ctx, bench.LatencyConfig{Dir: *dir, Service: *service, Path: *path, Part: *utilization, Rounds: *rounds, Slice: *slice})
 			if err != nil {
 				return err
 			}
@@ -172,20 +172,20 @@
 	fs := ff.NewFlagSet("goodput")
 	policy := fs.StringEnumLong("policy", "walldrift, round-robin or least-conns-retry", "walldrift", "round-robin", "least-conns-retry")
 	scenario := fs.StringEnumLong("scenario", "plain, one-slow, one-lying, third-killed or rolling", "plain", "one-slow", "one-lying", "third-killed", "rolling")
-	load := fs.Float64Long("load", 0.9, "offered rate over capacity")
-	length := fs.DurationLong("for", 10*time.Second, "length of the run")
-	stretch := fs.Float64Long("stretch", 5, "factor on the work of a request, to fit one machine")
-	seed := fs.Uint64Long("seed", 1, "seed of the arrivals")
+	load := fs.Float64Long("load", 0.9, "offered request rate as a fraction of capacity")
+	duration := fs.DurationLong("for", 10*time.Second, "length of the run")
+	stretch := fs.Float64Long("stretch", 5, "factor on the service time of a request, so that the fleet fits on one machine")
+	seed := fs.Uint64Long("seed", 1, "seed of the request arrivals")
 	row := fs.BoolLong("row", "print one row of a Markdown table")
 	return &ff.Command{
 		Name:      "goodput",
 		Usage:     "walldrift bench goodput [--policy P] [--scenario S] [--load L]",
-		ShortHelp: "measure weighted goodput of a whole fleet in this process, against baselines",
+		ShortHelp: "measure the weighted goodput of a fleet in this process, against baseline policies",
 		Flags:     fs,
 		Exec: func(ctx context.Context, _ []string) error {
 			r, err := bench.MeasureGoodput(ctx, bench.GoodputConfig{
 				Policy: bench.Policy(*policy), Scenario: bench.Scenario(*scenario),
-				Load: *load, For: *length, Stretch: *stretch, Seed: *seed,
+				Load: *load, For: *duration, Stretch: *stretch, Seed: *seed,
 			})
 			if err != nil {
 				return err
@@ -206,7 +206,7 @@
 	return &ff.Command{
 		Name:      "slopes",
 		Usage:     "walldrift bench slopes --dir DIR [--kind K]",
-		ShortHelp: "fit lines through the results of scripts/scale",
+		ShortHelp: "fit straight lines to the results of scripts/scale",
 		Flags:     fs,
 		Exec: func(context.Context, []string) error {
 			if *dir == "" {
@@ -221,7 +221,7 @@
 	return &ff.Command{
 		Name:      "leaving",
 		Usage:     "walldrift bench leaving",
-		ShortHelp: "measure how long leaving upstreams still get new work",
+		ShortHelp: "measure how long leaving upstreams still get new requests",
 		Flags:     ff.NewFlagSet("leaving"),
 		Exec: func(ctx context.Context, _ []string) error {
 			r, err := bench.MeasureLeaving(ctx)
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,5 +1,5 @@
-// Package cli is the command line of walldrift: it parses arguments, calls the
-// package that does the work, and turns errors into messages and exit codes.
+// Package cli implements the command line of walldrift: it parses arguments, calls the
+// package of the subcommand, and maps errors to messages and exit codes.
 package cli
 
 import (
@@ -25,14 +25,14 @@
 	Err io.Writer
 }
 
-// errUsage marks errors of the command line itself.
+// errUsage marks errors in the command-line arguments; they exit with exitUsage.
 var errUsage = errors.New("usage")
 
 func usagef(format string, args ...any) error {
 	return errors.Mark(errors.Newf(format, args...), errUsage)
 }
 
-// Run executes one command and returns its exit code.
+// Run parses args, executes the selected subcommand and returns the exit code.
 func Run(ctx context.Context, args []string, out IO) int {
 	root := newRoot(out)
 	err := root.Parse(args)
@@ -66,7 +66,7 @@
 	return &ff.Command{
 		Name:      "walldrift",
 		Usage:     "walldrift SUBCOMMAND ...",
-		ShortHelp: "distribute a mesh's configuration and carry its requests",
+		ShortHelp: "distribute a service mesh's configuration and route its requests",
 		Flags:     ff.NewFlagSet("walldrift"),
 		Subcommands: []*ff.Command{
 			nodeCommand(out),
--- a/internal/cli/logs.go
+++ b/internal/cli/logs.go
@@ -15,15 +15,15 @@
 
 func logsCommand(out IO) *ff.Command {
 	fs := ff.NewFlagSet("logs")
-	id := fs.String('i', "id", "", "tell the story of the request with this id")
+	id := fs.String('i', "id", "", "show every try of the request with this id")
 	failed := fs.BoolLong("failed", "only requests that failed")
-	slow := fs.DurationLong("slow", 0, "only requests that took at least so long")
+	slow := fs.DurationLong("slow", 0, "only requests that took at least this long")
 	since := fs.StringLong("since", "", "only requests from this time on (RFC 3339)")
 	return &ff.Command{
 		Name:      "logs",
 		Usage:     "walldrift logs [--id ID] [--failed] [--slow 300ms] [--since TIME] [FILE ...]",
-		ShortHelp: "read sidecars' log lines: one request's story, or what failures had in common",
-		LongHelp:  "Reads JSON lines of any number of sidecars from files, or from standard input.",
+		ShortHelp: "read sidecars' log lines: show the tries of one request, or count requests by cause",
+		LongHelp:  "Reads the JSON log lines of any number of sidecars from files, or from standard input.",
 		Flags:     fs,
 		Exec: func(_ context.Context, files []string) error {
 			filter := logs.Filter{ID: *id, Failed: *failed, Slow: *slow}
@@ -42,26 +42,26 @@
 func readLogs(out IO, files []string, filter logs.Filter) error {
 	var stats logs.Stats
 	summary := logs.NewSummary()
-	var failure error
-	take := func(l *logs.Line) {
+	var writeErr error
+	handle := func(l *logs.Line) {
 		if filter.ID == "" {
 			summary.Add(l)
 			return
 		}
-		failure = errors.CombineErrors(failure, writeStory(out.Out, l))
+		writeErr = errors.CombineErrors(writeErr, writeRequest(out.Out, l))
 	}
-	if err := eachInput(files, func(r io.Reader) error { return logs.Read(r, filter, &stats, take) }); err != nil {
+	if err := eachInput(files, func(r io.Reader) error { return logs.Read(r, filter, &stats, handle) }); err != nil {
 		return err
 	}
 	if filter.ID == "" {
-		failure = errors.CombineErrors(failure, writeSummary(out.Out, summary))
+		writeErr = errors.CombineErrors(writeErr, writeSummary(out.Out, summary))
 	}
-	_, err := fmt.Fprintf(out.Out, "read %d lines about requests, %d others, %d that are none; the sidecars left out %d\n",
-		stats.Lines, stats.Others, stats.Bad, stats.LeftOut)
-	return errors.CombineErrors(failure, err)
+	_, err := fmt.Fprintf(out.Out, "read %d lines about requests, %d other log lines, %d invalid lines; the sidecars suppressed %d request lines\n",
+		stats.Requests, stats.Others, stats.Invalid, stats.Suppressed)
+	return errors.CombineErrors(writeErr, err)
 }
 
-// eachInput calls read for each file, or for standard input without files.
+// eachInput calls read for each named file, or for standard input if there are none.
 func eachInput(files []string, read func(io.Reader) error) error {
 	if len(files) == 0 {
 		return read(os.Stdin)
@@ -79,20 +79,21 @@
 	return nil
 }
 
-func writeStory(w io.Writer, l *logs.Line) error {
+// writeRequest prints the tries and the result of one request.
+func writeRequest(w io.Writer, l *logs.Line) error {
 	_, err := fmt.Fprintf(w, "%s %s: request %s (%s) on route %s of table %s to %s, %.0f ms allowed\n",
 		l.Time.Format(time.RFC3339Nano), l.Instance, l.ID, l.Kind, l.Route, l.Version, l.Service, l.AllowedMs)
 	for i, t := range logs.Tries(l.Tries) {
 		_, werr := fmt.Fprintf(w, "  try %d at %s, start+duration %s: %s, status %s %s, load %s\n", i+1, t.Upstream, t.Timing, t.Class, t.Status, t.Reason, t.Load)
 		err = errors.CombineErrors(err, werr)
 	}
-	_, werr := fmt.Fprintf(w, "  after %.1f ms: status %d, %s %s; no further try: %s\n", l.TookMs, l.Status, l.Outcome, l.Reason, orText(l.NotRetried, "not needed"))
+	_, werr := fmt.Fprintf(w, "  after %.1f ms: status %d, %s %s; no further try: %s\n", l.TookMs, l.Status, l.Outcome, l.Reason, orDefault(l.NotRetried, "not needed"))
 	return errors.CombineErrors(err, werr)
 }
 
-func orText(s, empty string) string {
+func orDefault(s, fallback string) string {
 	if s == "" {
-		return empty
+		return fallback
 	}
 	return s
 }
@@ -100,13 +101,13 @@
 func writeSummary(w io.Writer, s *logs.Summary) error {
 	for _, c := range s.Counts() {
 		if _, err := fmt.Fprintf(w, "%7d  %s: status %d, %s %s; tries: %s; no further try: %s; e.g. %s\n",
-			c.Requests, c.Kind, c.Status, c.Outcome, c.Reason, orText(c.Ways, "none"), orText(c.NotRetried, "not needed"), c.Example); err != nil {
+			c.Requests, c.Kind, c.Status, c.Outcome, c.Reason, orDefault(c.TryResults, "none"), orDefault(c.NotRetried, "not needed"), c.Example); err != nil {
 			return err
 		}
 	}
-	if s.Other == 0 {
+	if s.OverflowRequests == 0 {
 		return nil
 	}
-	_, err := fmt.Fprintf(w, "%7d  of further causes\n", s.Other)
+	_, err := fmt.Fprintf(w, "%7d  of causes beyond the limit\n", s.OverflowRequests)
 	return err
 }
--- a/internal/cli/node.go
+++ b/internal/cli/node.go
@@ -15,14 +15,14 @@
 func nodeCommand(out IO) *ff.Command {
 	fs := ff.NewFlagSet("node")
 	file := fs.String('c', "config", "", "INI file with the node's settings")
-	check := fs.BoolLong("check", "report every finding and start nothing")
+	check := fs.BoolLong("check", "report every finding and exit")
 	reference := fs.BoolLong("reference", "print all settings with unit, default and meaning")
-	set := fs.StringListLong("set", "override: section.key=value (repeatable)")
+	set := fs.StringListLong("set", "overriding setting: section.key=value (repeatable)")
 	return &ff.Command{
 		Name:      "node",
 		Usage:     "walldrift node --config node.ini [--check] [--set section.key=value]",
-		ShortHelp: "run the process beside one upstream instance",
-		LongHelp:  "Later sources win: the file, the environment (WALLDRIFT_SECTION_KEY), --set.",
+		ShortHelp: "run the node beside one upstream instance",
+		LongHelp:  "A later source overrides an earlier one: the file, the environment (WALLDRIFT_SECTION_KEY), --set.",
 		Flags:     fs,
 		Exec: func(ctx context.Context, args []string) error {
 			if *reference {
@@ -56,8 +56,8 @@
 	}
 }
 
-// printReference writes the settings as a Markdown table; docs/SETTINGS.md is
-// made from it.
+// printReference writes the settings as a Markdown table; docs/SETTINGS.md is generated
+// from it.
 func printReference[T any](out IO, fields []settings.Field[T]) error {
 	if _, err := fmt.Fprintln(out.Out, "| setting | unit | default | meaning |\n|---|---|---|---|"); err != nil {
 		return err
--- a/internal/cli/quarantine.go
+++ b/internal/cli/quarantine.go
@@ -17,19 +17,19 @@
 
 func quarantineCommand(out IO) *ff.Command {
 	fs := ff.NewFlagSet("quarantine")
-	question := newAdminQuestion(fs)
-	release := fs.StringLong("release", "", "fingerprint of a request to let through again, everywhere")
+	query := newAdminQuery(fs)
+	release := fs.StringLong("release", "", "fingerprint of a request to release from quarantine on all nodes")
 	return &ff.Command{
 		Name:      "quarantine",
 		Usage:     "walldrift quarantine [--node ip:port] [--json] [--release FINGERPRINT]",
-		ShortHelp: "show the requests that are held back since upstreams ended under them, or release one",
+		ShortHelp: "show the requests in quarantine because upstreams crashed while running them, or release one",
 		Flags:     fs,
 		Exec: func(ctx context.Context, _ []string) error {
 			if *release != "" {
-				_, err := askAdmin(ctx, http.MethodPost, *question.addr, admin.PathRelease+*release)
+				_, err := requestAdmin(ctx, http.MethodPost, *query.addr, admin.PathRelease+*release)
 				return err
 			}
-			return question.ask(ctx, out, admin.PathQuarantine, printQuarantine)
+			return query.printResponse(ctx, out, admin.PathQuarantine, printQuarantine)
 		},
 	}
 }
@@ -52,13 +52,14 @@
 	_, _ = fmt.Fprintln(tw, "HELD BACK\tSERVICE\tUPSTREAMS ENDED\tFOR\tTRIED AGAIN IN\tREFUSED HERE\tCUSTOMER\tREQUEST")
 	for _, r := range rows {
 		_, _ = fmt.Fprintf(tw, "%s\t%s\t%d\t%s\t%s\t%d\t%s\t%s\n", r.Fingerprint, r.Service, r.Falls,
-			time.Duration(r.SinceMs)*time.Millisecond, time.Duration(r.TriedMs)*time.Millisecond, r.Refused, dash(r.Tenant), dash(describe(r)))
+			time.Duration(r.SinceMs)*time.Millisecond, time.Duration(r.TriedMs)*time.Millisecond, r.Refused, dash(r.Tenant), dash(requestLine(r)))
 	}
 	_ = tw.Flush()
 }
 
-// describe names a request; empty where no attempt of it came to the node asked.
-func describe(r admin.HeldRequest) string {
+// requestLine returns the method, host and target of a request. It is empty if the queried
+// node received no attempt of the request.
+func requestLine(r admin.HeldRequest) string {
 	if r.Method == "" {
 		return ""
 	}
--- a/internal/cli/quotas.go
+++ b/internal/cli/quotas.go
@@ -16,14 +16,14 @@
 
 func quotasCommand(out IO) *ff.Command {
 	fs := ff.NewFlagSet("quotas")
-	question := newAdminQuestion(fs)
+	query := newAdminQuery(fs)
 	return &ff.Command{
 		Name:      "quotas",
 		Usage:     "walldrift quotas [--node ip:port] [--json]",
-		ShortHelp: "show the customers of the table, their limits, and what came of them at a sidecar",
+		ShortHelp: "show the table's customers, their limits, and their requests at one sidecar",
 		Flags:     fs,
 		Exec: func(ctx context.Context, _ []string) error {
-			return question.ask(ctx, out, admin.PathQuotas, printQuotas)
+			return query.printResponse(ctx, out, admin.PathQuotas, printQuotas)
 		},
 	}
 }
--- a/internal/cli/sidecar.go
+++ b/internal/cli/sidecar.go
@@ -19,13 +19,13 @@
 func sidecarCommand(out IO) *ff.Command {
 	fs := ff.NewFlagSet("sidecar")
 	file := fs.String('c', "config", "", "INI file with the sidecar's settings")
-	check := fs.BoolLong("check", "report every finding and start nothing")
+	check := fs.BoolLong("check", "report every finding and exit")
 	reference := fs.BoolLong("reference", "print all settings with unit, default and meaning")
-	set := fs.StringListLong("set", "override: section.key=value (repeatable)")
+	set := fs.StringListLong("set", "overriding setting: section.key=value (repeatable)")
 	return &ff.Command{
 		Name:      "sidecar",
 		Usage:     "walldrift sidecar --config sidecar.ini [--check] [--set section.key=value]",
-		ShortHelp: "run the process beside one upstream on the users' platform",
+		ShortHelp: "run the sidecar beside one upstream on the users' platform",
 		Flags:     fs,
 		Exec: func(ctx context.Context, args []string) error {
 			if *reference {
@@ -38,11 +38,11 @@
 			if err != nil {
 				return usagef("--set: %v", err)
 			}
-			signal.Ignore(syscall.SIGHUP) // until WatchSettings listens
+			signal.Ignore(syscall.SIGHUP) // it would end the process until WatchSettings handles it
 			load := func() (*settings.Sidecar, error) {
 				return settings.LoadSidecar(*file, settings.SidecarEnvironment(), overrides)
 			}
-			seen := sidecar.NewSettingsFile(*file)
+			settingsFile := sidecar.NewSettingsFile(*file)
 			cfg, err := load()
 			if err != nil {
 				return err
@@ -51,28 +51,28 @@
 				_, err = fmt.Fprintf(out.Out, "%s: no findings\n", *file)
 				return err
 			}
-			lines := telemetry.NewAsyncWriter(out.Out, logLines)
-			defer lines.Flush(logFlush)
-			s, err := sidecar.New(cfg, usersPlatform(), telemetry.NewLogger(lines, cfg.LogLevel, cfg.LogFormat, cfg.Name))
+			logWriter := telemetry.NewAsyncWriter(out.Out, logBufferLines)
+			defer logWriter.Flush(logFlushTimeout)
+			s, err := sidecar.New(cfg, userPlatform(), telemetry.NewLogger(logWriter, cfg.LogLevel, cfg.LogFormat, cfg.Name))
 			if err != nil {
 				return err
 			}
-			go s.WatchSettings(ctx, seen, load)
+			go s.WatchSettings(ctx, settingsFile, load)
 			return s.Run(ctx)
 		},
 	}
 }
 
 const (
-	// logLines is the number of lines held for an output that is slow: some
-	// seconds of the busiest minute, at most about 300 KB.
-	logLines = 512
-	// logFlush bounds the wait for the last lines at the end.
-	logFlush = 100 * time.Millisecond
+	// logBufferLines is the number of log lines buffered for a slow output. It covers a
+	// few seconds at the peak log rate and takes at most about 300 KB.
+	logBufferLines = 512
+	// logFlushTimeout bounds the wait for buffered lines to be written at exit.
+	logFlushTimeout = 100 * time.Millisecond
 )
 
-// usersPlatform is the adapter of the users' machines.
-func usersPlatform() sidecar.Platform {
+// userPlatform returns the adapter of the platform that the users' machines run on.
+func userPlatform() sidecar.Platform {
 	return sidecar.Platform{
 		Dialect:   platform.Dialect,
 		ReadyPath: platform.ReadyPath,
--- a/internal/cli/standin.go
+++ b/internal/cli/standin.go
@@ -20,7 +20,7 @@
 	return &ff.Command{
 		Name:      "keys",
 		Usage:     "walldrift keys --dir DIR NAME ...",
-		ShortHelp: "make a development authority and a certificate for each instance",
+		ShortHelp: "create a development certificate authority and a certificate for each instance",
 		Flags:     fs,
 		Exec: func(_ context.Context, args []string) error {
 			if *dir == "" || len(args) == 0 {
@@ -33,7 +33,7 @@
 			if err := authority.WriteFiles(*dir, args); err != nil {
 				return err
 			}
-			_, err = fmt.Fprintf(out.Out, "wrote an authority and %d certificates to %s\n", len(args), *dir)
+			_, err = fmt.Fprintf(out.Out, "wrote a certificate authority and %d certificates to %s\n", len(args), *dir)
 			return err
 		},
 	}
@@ -43,7 +43,7 @@
 	return &ff.Command{
 		Name:        "standin",
 		Usage:       "walldrift standin platform|upstream ...",
-		ShortHelp:   "run a stand-in of the platform or of an upstream, for trials",
+		ShortHelp:   "run a simulated platform or upstream for experiments",
 		Flags:       ff.NewFlagSet("standin"),
 		Subcommands: []*ff.Command{standinPlatform(out), standinUpstream(out)},
 	}
@@ -52,12 +52,12 @@
 func standinPlatform(out IO) *ff.Command {
 	fs := ff.NewFlagSet("platform")
 	addr := fs.StringLong("listen", "127.0.0.1:8500", "TCP address")
-	tableFile := fs.StringLong("table", "", "table published at start")
-	listFile := fs.StringLong("instances", "", "instance list published at start")
+	tableFile := fs.StringLong("table", "", "table file published at startup")
+	listFile := fs.StringLong("instances", "", "instance list file published at startup")
 	return &ff.Command{
 		Name:      "platform",
 		Usage:     "walldrift standin platform [--listen ip:port] [--table FILE] [--instances FILE]",
-		ShortHelp: "serve a configuration service from memory",
+		ShortHelp: "serve an in-memory configuration service",
 		Flags:     fs,
 		Exec: func(ctx context.Context, _ []string) error {
 			p := standin.NewPlatform()
@@ -71,7 +71,7 @@
 				}
 				p.Put(key, raw)
 			}
-			return standin.Serve(ctx, *addr, p.Handler(), announce(out))
+			return standin.Serve(ctx, *addr, p.Handler(), printAddress(out))
 		},
 	}
 }
@@ -80,25 +80,25 @@
 	fs := ff.NewFlagSet("upstream")
 	addr := fs.StringLong("listen", "127.0.0.1:8600", "TCP address")
 	name := fs.StringLong("name", "upstream-1", "instance name")
-	slots := fs.IntLong("slots", 12, "requests worked on at once")
-	work := fs.DurationLong("work", 10*time.Millisecond, "time that one request takes")
-	lie := fs.BoolLong("lie", "report no load whatever it is")
+	slots := fs.IntLong("slots", 12, "requests processed concurrently")
+	work := fs.DurationLong("work", 10*time.Millisecond, "service time of one request")
+	lie := fs.BoolLong("lie", "always report a load of zero")
 	return &ff.Command{
 		Name:      "upstream",
 		Usage:     "walldrift standin upstream [--listen ip:port] [--name NAME] [--slots N] [--work D]",
-		ShortHelp: "serve requests as an upstream instance would",
+		ShortHelp: "serve requests like an upstream instance",
 		Flags:     fs,
 		Exec: func(ctx context.Context, _ []string) error {
 			if *slots <= 0 {
 				return usagef("--slots must be positive")
 			}
 			u := standin.NewUpstream(standin.UpstreamConfig{Name: *name, Slots: *slots, Work: *work, Lie: *lie})
-			return standin.Serve(ctx, *addr, u, announce(out))
+			return standin.Serve(ctx, *addr, u, printAddress(out))
 		},
 	}
 }
 
-// announce prints the bound address on a line of its own.
-func announce(out IO) func(string) {
+// printAddress returns a function that prints the bound address on its own line.
+func printAddress(out IO) func(string) {
 	return func(addr string) { _, _ = fmt.Fprintf(out.Out, "listening on %s\n", addr) }
 }
--- a/internal/cli/status.go
+++ b/internal/cli/status.go
@@ -18,28 +18,29 @@
 	"github.com/walldrift/walldrift/internal/distribution"
 )
 
-// errNoPage marks an answer that there is no such page, or nothing of that name.
-var errNoPage = errors.New("no such page")
+// errNotFound marks a 404 response: the path or the named object does not exist.
+var errNotFound = errors.New("admin path not found")
 
-// adminTimeout bounds a question to a node's admin address.
+// adminTimeout bounds a request to a node's admin address.
 const adminTimeout = 6 * time.Second
 
-// adminQuestion is the flags of a command that asks a node's admin address.
-type adminQuestion struct {
+// adminQuery holds the flags of a command that queries a node's admin address.
+type adminQuery struct {
 	addr   *string
 	asJSON *bool
 }
 
-func newAdminQuestion(fs *ff.FlagSet) adminQuestion {
-	return adminQuestion{
+func newAdminQuery(fs *ff.FlagSet) adminQuery {
+	return adminQuery{
 		addr:   fs.String('n', "node", "127.0.0.1:9000", "admin address of any node, ip:port"),
 		asJSON: fs.BoolLong("json", "print JSON"),
 	}
 }
 
-// ask prints the answer at a path, as it is or by printAs.
-func (q adminQuestion) ask(ctx context.Context, out IO, path string, printAs func(io.Writer, []byte) error) error {
-	raw, err := askAdmin(ctx, http.MethodGet, *q.addr, path)
+// printResponse requests a path and prints the response: unchanged with --json, otherwise by
+// printText.
+func (q adminQuery) printResponse(ctx context.Context, out IO, path string, printText func(io.Writer, []byte) error) error {
+	raw, err := requestAdmin(ctx, http.MethodGet, *q.addr, path)
 	if err != nil {
 		return err
 	}
@@ -47,42 +48,43 @@
 		_, err = out.Out.Write(raw)
 		return err
 	}
-	return printAs(out.Out, raw)
+	return printText(out.Out, raw)
 }
 
 func statusCommand(out IO) *ff.Command {
 	fs := ff.NewFlagSet("status")
-	question := newAdminQuestion(fs)
+	query := newAdminQuery(fs)
 	return &ff.Command{
 		Name:      "status",
 		Usage:     "walldrift status [--node ip:port] [--json]",
-		ShortHelp: "ask any node for the version that every node holds, and why",
+		ShortHelp: "show the table version of every node, and the reason for it",
 		Flags:     fs,
 		Exec: func(ctx context.Context, _ []string) error {
-			return question.ask(ctx, out, admin.PathFleet, printFleet)
+			return query.printResponse(ctx, out, admin.PathFleet, printFleet)
 		},
 	}
 }
 
-// fleetRow is a node's status as its JSON shows it.
+// fleetRow is the status of one node in a response of admin.PathFleet.
 type fleetRow struct {
-	Name       string                         `json:"name"`
-	DataCentre string                         `json:"dc"`
-	Table      string                         `json:"table"`
-	HeldMs     int64                          `json:"held_ms"`
-	From       string                         `json:"from"`
-	Reader     bool                           `json:"reader"`
-	SourceAge  uint64                         `json:"source_age_ms"`
-	Refused    string                         `json:"refused"`
-	Waiting    string                         `json:"waiting"`
-	Links      int                            `json:"links"`
-	Upstream   string                         `json:"upstream"`
-	Evacuated  []distribution.EvacuatedCentre `json:"evacuated"`
-	HeldBack   int                            `json:"held_back"`
+	Name        string                         `json:"name"`
+	DataCentre  string                         `json:"dc"`
+	Table       string                         `json:"table"`
+	InForceMs   int64                          `json:"held_ms"`
+	From        string                         `json:"from"`
+	Reader      bool                           `json:"reader"`
+	SourceAge   uint64                         `json:"source_age_ms"`
+	Refused     string                         `json:"refused"`
+	Waiting     string                         `json:"waiting"`
+	Links       int                            `json:"links"`
+	Upstream    string                         `json:"upstream"`
+	Evacuated   []distribution.EvacuatedCentre `json:"evacuated"`
+	Quarantined int                            `json:"held_back"`
 }
 
-// unknownAge is the least source age that stands for "never".
-const unknownAge = uint64(1) << 40
+// minNeverAge is the smallest source age, in milliseconds, that means that the platform
+// never answered.
+const minNeverAge = uint64(1) << 40
 
 func printFleet(w io.Writer, raw []byte) error {
 	var rows []fleetRow
@@ -93,26 +95,27 @@
 	_, _ = fmt.Fprintln(tw, "NODE\tDC\tVERSION\tHELD FOR\tWHY\tREADER\tLINKS\tPLATFORM ANSWERED\tWAITS FOR\tREFUSED\tUPSTREAM GETS NO WORK\tEVACUATED\tREQUESTS HELD BACK")
 	for _, r := range rows {
 		age := "never"
-		if r.SourceAge < unknownAge {
+		if r.SourceAge < minNeverAge {
 			age = (time.Duration(r.SourceAge) * time.Millisecond).String() + " ago"
 		}
 		_, _ = fmt.Fprintf(tw, "%s\t%s\t%s\t%s\t%s\t%v\t%d\t%s\t%s\t%s\t%s\t%s\t%d\n", r.Name, r.DataCentre, r.Table,
-			time.Duration(r.HeldMs)*time.Millisecond, why(r), r.Reader, r.Links, age, dash(r.Waiting), dash(r.Refused), dash(r.Upstream), dash(evacuated(r.Evacuated)), r.HeldBack)
+			time.Duration(r.InForceMs)*time.Millisecond, versionReason(r), r.Reader, r.Links, age, dash(r.Waiting), dash(r.Refused), dash(r.Upstream), dash(evacuationText(r.Evacuated)), r.Quarantined)
 	}
 	return tw.Flush()
 }
 
-// evacuated lists evacuated data centres, each with how long the node knows of it.
-func evacuated(centres []distribution.EvacuatedCentre) string {
-	told := make([]string, len(centres))
+// evacuationText lists evacuated data centres, each with the time since the node learned of
+// the evacuation.
+func evacuationText(centres []distribution.EvacuatedCentre) string {
+	parts := make([]string, len(centres))
 	for i, c := range centres {
-		told[i] = fmt.Sprintf("%s for %v", c.DataCentre, time.Duration(c.Since)*time.Millisecond)
+		parts[i] = fmt.Sprintf("%s for %v", c.DataCentre, time.Duration(c.Since)*time.Millisecond)
 	}
-	return strings.Join(told, ", ")
+	return strings.Join(parts, ", ")
 }
 
-// why says in words why a node holds the version it holds.
-func why(r fleetRow) string {
+// versionReason explains why a node has its table version in force.
+func versionReason(r fleetRow) string {
 	switch {
 	case r.From == "":
 		return "has none yet"
@@ -133,29 +136,29 @@
 
 func explainCommand(out IO) *ff.Command {
 	fs := ff.NewFlagSet("explain")
-	question := newAdminQuestion(fs)
+	query := newAdminQuery(fs)
 	return &ff.Command{
 		Name:      "explain",
 		Usage:     "walldrift explain [--node ip:port] [--json] SERVICE",
-		ShortHelp: "show which upstreams a request would get now, and why others are left out",
+		ShortHelp: "show the upstreams that a request may be sent to now, and why others are excluded",
 		Flags:     fs,
 		Exec: func(ctx context.Context, args []string) error {
 			if len(args) != 1 {
 				return usagef("explain needs one SERVICE")
 			}
-			if err := question.ask(ctx, out, admin.PathExplain+args[0], printExplanation); err != nil || *question.asJSON {
+			if err := query.printResponse(ctx, out, admin.PathExplain+args[0], printExplanation); err != nil || *query.asJSON {
 				return err
 			}
-			return question.explainHeld(ctx, out, args[0])
+			return query.printQuarantinedOf(ctx, out, args[0])
 		},
 	}
 }
 
-// explainHeld adds the requests to a service that are held back, if there are any.
-func (q adminQuestion) explainHeld(ctx context.Context, out IO, service string) error {
-	raw, err := askAdmin(ctx, http.MethodGet, *q.addr, admin.PathQuarantine)
-	if errors.Is(err, errNoPage) {
-		return nil // a node of another kind holds none back
+// printQuarantinedOf prints the quarantined requests to a service, if there are any.
+func (q adminQuery) printQuarantinedOf(ctx context.Context, out IO, service string) error {
+	raw, err := requestAdmin(ctx, http.MethodGet, *q.addr, admin.PathQuarantine)
+	if errors.Is(err, errNotFound) {
+		return nil // the walldrift node command has no quarantine
 	}
 	if err != nil {
 		return err
@@ -184,8 +187,9 @@
 	return tw.Flush()
 }
 
-// askAdmin makes one request to a node's admin address.
-func askAdmin(ctx context.Context, method, addr, path string) ([]byte, error) {
+// requestAdmin sends one request to a node's admin address and returns the response body. A
+// response 404 gives an error marked with errNotFound.
+func requestAdmin(ctx context.Context, method, addr, path string) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, adminTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+addr+path, nil)
@@ -204,7 +208,7 @@
 	if resp.StatusCode != http.StatusOK {
 		err := errors.Newf("node %s answers %s: %s", addr, resp.Status, raw)
 		if resp.StatusCode == http.StatusNotFound {
-			err = errors.Mark(err, errNoPage)
+			err = errors.Mark(err, errNotFound)
 		}
 		return nil, err
 	}
--- a/internal/cli/table.go
+++ b/internal/cli/table.go
@@ -20,8 +20,8 @@
 	return &ff.Command{
 		Name:      "table",
 		Usage:     "walldrift table check|diff|set|show ...",
-		ShortHelp: "work on the operator's table",
-		LongHelp:  "No subcommand publishes: operators do that by the platform's own means.",
+		ShortHelp: "check, compare, edit and print the operators' table",
+		LongHelp:  "No subcommand publishes a table: operators do that with the platform's own tools.",
 		Flags:     ff.NewFlagSet("table"),
 		Subcommands: []*ff.Command{
 			tableCheck(out), tableDiff(out), tableSet(out), tableShow(out),
@@ -56,7 +56,7 @@
 	return &ff.Command{
 		Name:      "diff",
 		Usage:     "walldrift table diff OLD NEW",
-		ShortHelp: "list the cells that differ",
+		ShortHelp: "list the differing cells",
 		Flags:     ff.NewFlagSet("diff"),
 		Exec: func(_ context.Context, args []string) error {
 			raw, err := readFiles(args, 2)
@@ -79,14 +79,14 @@
 
 func tableSet(out IO) *ff.Command {
 	fs := ff.NewFlagSet("set")
-	to := fs.String('o', "out", "", "file to write; must not exist")
+	outPath := fs.String('o', "out", "", "file to write; must not exist")
 	return &ff.Command{
 		Name:      "set",
 		Usage:     "walldrift table set --out NEW FILE ROW/NAME/COLUMN=VALUE ...",
-		ShortHelp: "write a new file with cells changed and the edition raised",
+		ShortHelp: "write a new file with changed cells and an incremented edition",
 		Flags:     fs,
 		Exec: func(_ context.Context, args []string) error {
-			if len(args) < 2 || *to == "" {
+			if len(args) < 2 || *outPath == "" {
 				return usagef("set needs --out NEW, FILE and at least one ROW/NAME/COLUMN=VALUE")
 			}
 			raw, err := readFiles(args[:1], 1)
@@ -105,21 +105,21 @@
 			if err != nil {
 				return err
 			}
-			if err := writeNew(*to, next); err != nil {
+			if err := writeNewFile(*outPath, next); err != nil {
 				return err
 			}
-			_, err = fmt.Fprintf(out.Out, "wrote %s, version %s\n", *to, snap.ID)
+			_, err = fmt.Fprintf(out.Out, "wrote %s, version %s\n", *outPath, snap.ID)
 			return err
 		},
 	}
 }
 
-// parseEdits reads ROW/NAME/COLUMN=VALUE arguments.
+// parseEdits parses ROW/NAME/COLUMN=VALUE arguments.
 func parseEdits(args []string) ([]table.Edit, error) {
 	edits := make([]table.Edit, 0, len(args))
 	for _, a := range args {
-		place, value, ok := strings.Cut(a, "=")
-		parts := strings.Split(place, "/")
+		cell, value, ok := strings.Cut(a, "=")
+		parts := strings.Split(cell, "/")
 		if !ok || len(parts) != 3 {
 			return nil, usagef("%q is not ROW/NAME/COLUMN=VALUE", a)
 		}
@@ -128,7 +128,8 @@
 	return edits, nil
 }
 
-func writeNew(path string, raw []byte) error {
+// writeNewFile writes a file that must not exist yet.
+func writeNewFile(path string, raw []byte) error {
 	f, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o644)
 	if err != nil {
 		return errors.Wrap(err, "new table")
@@ -163,7 +164,7 @@
 	}
 }
 
-// readFiles reads exactly n files.
+// readFiles reads the named files; there must be exactly n.
 func readFiles(args []string, n int) ([][]byte, error) {
 	if len(args) != n {
 		return nil, usagef("want %d file(s), got %d", n, len(args))
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -1,9 +1,8 @@
-// Package logs reads the JSON lines of any number of sidecars and tells what
-// became of a request, or what the failures had in common.
+// Package logs reads the JSON log lines of any number of sidecars, selects those about
+// requests, and counts requests by how they ended.
 //
-// Lines are read one by one in bounded memory. What is no line of the project
-// is counted and passed over, also text before the JSON, as log collectors put
-// it there.
+// Lines are read one by one in bounded memory. Text before the JSON, as log collectors add
+// it, is skipped. Lines that are not JSON log lines are counted and skipped.
 package logs
 
 import (
@@ -19,7 +18,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Line is one decision about a request, as a sidecar wrote it; docs/LOGS.md
+// Line is the log line that a sidecar writes about a finished request; docs/LOGS.md
 // explains the fields.
 type Line struct {
 	Time       time.Time `json:"time"`
@@ -37,53 +36,54 @@
 	TookMs     float64   `json:"took_ms"`
 	AllowedMs  float64   `json:"allowed_ms"`
 	Tries      string    `json:"tries"`
-	LeftOut    int64     `json:"left_out"`
+	Suppressed int64     `json:"left_out"`
 }
 
-// requestMessage is the message of lines about requests.
+// requestMessage is the log message of lines about requests.
 const requestMessage = "request"
 
-// failedFrom is the least status of a failed request.
-const failedFrom = 500
+// minFailedStatus is the lowest HTTP status of a failed request.
+const minFailedStatus = 500
 
-// Filter chooses lines about requests. The zero value takes all.
+// Filter selects lines about requests. The zero value matches all.
 type Filter struct {
 	ID     string
 	Failed bool
-	Slow   time.Duration // took at least so long; 0 for any
+	Slow   time.Duration // minimum duration of the request; 0 for any
 	Since  time.Time
 }
 
-func (f Filter) takes(l *Line) bool {
+func (f Filter) matches(l *Line) bool {
 	return (f.ID == "" || f.ID == l.ID) &&
-		(!f.Failed || l.Status >= failedFrom) &&
+		(!f.Failed || l.Status >= minFailedStatus) &&
 		l.TookMs >= float64(f.Slow.Milliseconds()) &&
 		!l.Time.Before(f.Since)
 }
 
-// Stats counts what was read.
+// Stats counts the lines read.
 type Stats struct {
-	Lines   int64 // lines about requests
-	Others  int64 // lines of the project about something else
-	Bad     int64 // lines that are none of the project's, or too long
-	LeftOut int64 // requests that the sidecars' budgets left out
+	Requests   int64 // lines about requests
+	Others     int64 // log lines about something else
+	Invalid    int64 // lines that are not JSON log lines, or are too long
+	Suppressed int64 // request lines that the sidecars' log rate limiters suppressed
 }
 
-// maxLine bounds a line that is read; longer ones are bad.
-const maxLine = 64 << 10
+// maxLineBytes bounds the length of a line; longer lines count as invalid.
+const maxLineBytes = 64 << 10
 
-// Read calls take for each line about a request that the filter takes.
-func Read(r io.Reader, f Filter, stats *Stats, take func(*Line)) error {
-	br := bufio.NewReaderSize(r, maxLine)
+// Read calls handle for each line about a request that the filter matches, and adds to
+// stats. Invalid lines are not an error.
+func Read(r io.Reader, f Filter, stats *Stats, handle func(*Line)) error {
+	br := bufio.NewReaderSize(r, maxLineBytes)
 	for {
 		raw, err := br.ReadSlice('\n')
 		if errors.Is(err, bufio.ErrBufferFull) {
-			stats.Bad++
+			stats.Invalid++
 			err = skipLine(br)
 			raw = nil
 		}
 		if len(bytes.TrimSpace(raw)) > 0 {
-			decode(raw, f, stats, take)
+			decodeLine(raw, f, stats, handle)
 		}
 		if errors.Is(err, io.EOF) {
 			return nil
@@ -94,6 +94,7 @@
 	}
 }
 
+// skipLine discards the rest of a line.
 func skipLine(br *bufio.Reader) error {
 	for {
 		_, err := br.ReadSlice('\n')
@@ -103,47 +104,47 @@
 	}
 }
 
-func decode(raw []byte, f Filter, stats *Stats, take func(*Line)) {
-	at := bytes.IndexByte(raw, '{')
+func decodeLine(raw []byte, f Filter, stats *Stats, handle func(*Line)) {
+	start := bytes.IndexByte(raw, '{')
 	var l Line
-	if at < 0 || json.Unmarshal(raw[at:], &l) != nil || l.Message == "" {
-		stats.Bad++
+	if start < 0 || json.Unmarshal(raw[start:], &l) != nil || l.Message == "" {
+		stats.Invalid++
 		return
 	}
 	if l.Message != requestMessage {
 		stats.Others++
 		return
 	}
-	stats.Lines++
-	stats.LeftOut += l.LeftOut
-	if f.takes(&l) {
-		take(&l)
+	stats.Requests++
+	stats.Suppressed += l.Suppressed
+	if f.matches(&l) {
+		handle(&l)
 	}
 }
 
-// Cause groups requests that ended alike.
+// Cause describes how a request ended; it groups requests with the same end.
 type Cause struct {
 	Kind, Outcome, Reason, NotRetried string
 	Status                            int
-	// Ways is how the tries ended, one after another.
-	Ways string
+	// TryResults is the class and reason of each try, in order.
+	TryResults string
 }
 
-// Count is a cause with its number of requests and one of them.
+// Count is a cause with the number of its requests and an example.
 type Count struct {
 	Cause
 	Requests int64
-	Example  string // a request's id
+	Example  string // request id
 }
 
-// Summary counts requests by cause. Its memory is bounded by maxCauses.
+// Summary counts requests by cause, for at most maxCauses causes.
 type Summary struct {
 	counts map[Cause]*Count
-	// Other counts the requests of causes beyond the bound.
-	Other int64
+	// OverflowRequests counts the requests whose causes are beyond maxCauses.
+	OverflowRequests int64
 }
 
-// maxCauses bounds the causes that are told apart.
+// maxCauses bounds the number of causes that are counted separately.
 const maxCauses = 10_000
 
 // NewSummary returns an empty summary.
@@ -151,11 +152,11 @@
 
 // Add counts a request.
 func (s *Summary) Add(l *Line) {
-	c := Cause{Kind: l.Kind, Outcome: l.Outcome, Reason: l.Reason, NotRetried: l.NotRetried, Status: l.Status, Ways: ways(l.Tries)}
+	c := Cause{Kind: l.Kind, Outcome: l.Outcome, Reason: l.Reason, NotRetried: l.NotRetried, Status: l.Status, TryResults: tryResults(l.Tries)}
 	n, ok := s.counts[c]
 	if !ok {
 		if len(s.counts) >= maxCauses {
-			s.Other++
+			s.OverflowRequests++
 			return
 		}
 		n = &Count{Cause: c, Example: l.ID}
@@ -164,7 +165,7 @@
 	n.Requests++
 }
 
-// Counts returns the causes, the most frequent first.
+// Counts returns the causes in descending order of their requests.
 func (s *Summary) Counts() []Count {
 	out := make([]Count, 0, len(s.counts))
 	for _, c := range s.counts {
@@ -176,17 +177,17 @@
 	return out
 }
 
-// Try is one try of a request as its line tells it.
+// Try is one try of a request, as the tries field of its line has it.
 type Try struct {
 	Upstream string
-	Timing   string // when it began and how long it took: "1.2ms+30.0ms"
+	Timing   string // start after the request's arrival, and duration: "1.2ms+30.0ms"
 	Class    string
 	Status   string
 	Reason   string
-	Load     string // of the upstream: in use/slots/waiting/service µs/wait µs
+	Load     string // load report of the upstream: in use/slots/waiting/service µs/wait µs
 }
 
-// Tries splits the tries of a line. What does not have their form is left out.
+// Tries parses the tries field of a line. Parts in another format are skipped.
 func Tries(text string) []Try {
 	var out []Try
 	for _, part := range strings.Fields(text) {
@@ -200,14 +201,15 @@
 	return out
 }
 
-func ways(tries string) string {
+// tryResults returns the class and reason of each try, in order.
+func tryResults(tries string) string {
 	var parts []string
 	for _, t := range Tries(tries) {
-		way := t.Class
+		result := t.Class
 		if t.Reason != "" {
-			way += " (" + t.Reason + ")"
+			result += " (" + t.Reason + ")"
 		}
-		parts = append(parts, way)
+		parts = append(parts, result)
 	}
 	return strings.Join(parts, ", then ")
 }
