--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,10 +1,11 @@
-// Package admin holds what the admin addresses of nodes and sidecars have in
-// common: paths and the forms of answers.
+// Package admin holds the paths and JSON response types that the admin addresses of nodes
+// and sidecars have in common.
 package admin
 
 import "github.com/walldrift/walldrift/internal/routing"
 
-// Paths of an admin address.
+// Paths of an admin address. PathSelf is the status of the node itself, PathFleet that of
+// all nodes. PathExplain is followed by the name of a service.
 const (
 	PathHealth  = "/healthz"
 	PathReady   = "/readyz"
@@ -16,7 +17,8 @@
 	PathProfile = "/debug/pprof/"
 )
 
-// Explanation is the verdict on one upstream in an answer of PathExplain.
+// Explanation says whether a request may be sent to an upstream, in a response of
+// PathExplain. Excluded is the reason why not.
 type Explanation struct {
 	Upstream   string  `json:"upstream"`
 	DataCentre string  `json:"dc"`
@@ -25,10 +27,10 @@
 	Cost       float64 `json:"cost"`
 }
 
-// Explain returns the explanations of candidates.
-func Explain(all []routing.Candidate) []Explanation {
-	out := make([]Explanation, len(all))
-	for i, c := range all {
+// Explain returns the explanations of candidates, in their order.
+func Explain(candidates []routing.Candidate) []Explanation {
+	out := make([]Explanation, len(candidates))
+	for i, c := range candidates {
 		out[i] = Explanation{
 			Upstream:   c.Upstream.Name,
 			DataCentre: c.Instance.DataCentre,
--- a/internal/admin/quarantine.go
+++ b/internal/admin/quarantine.go
@@ -2,25 +2,26 @@
 
 import "github.com/walldrift/walldrift/internal/quarantine"
 
-// Paths about requests that are held back.
+// Paths about quarantined requests.
 const (
 	PathQuarantine = "/quarantine"
-	// PathRelease stands before the fingerprint of a request that is to be let through
-	// again; it takes a POST.
+	// PathRelease is followed by the fingerprint of a request. A POST to it releases the
+	// request from quarantine on all nodes.
 	PathRelease = "/quarantine/release/"
 )
 
-// HeldRequest is a request that is held back, in an answer of PathQuarantine.
+// HeldRequest is a quarantined request in a response of PathQuarantine.
 type HeldRequest struct {
 	Fingerprint string `json:"fingerprint"`
 	Service     string `json:"service"`
-	Falls       int    `json:"falls"`
-	// SinceMs is for how long it has been held back at the node that answers, TriedMs the
-	// time until it is tried again, in milliseconds.
+	// Falls is the number of upstreams that crashed while running the request.
+	Falls int `json:"falls"`
+	// SinceMs is the time for which the responding node has had the request in quarantine,
+	// TriedMs the time until its next probe, both in milliseconds.
 	SinceMs int64 `json:"since_ms"`
 	TriedMs int64 `json:"tried_again_ms"`
-	// Refused counts its attempts at the node that answers. The rest is empty where none
-	// came there.
+	// Refused counts the attempts that the responding node refused. The fields below are
+	// empty if it received no attempt.
 	Refused int64  `json:"refused"`
 	Method  string `json:"method,omitempty"`
 	Host    string `json:"host,omitempty"`
@@ -28,21 +29,21 @@
 	Tenant  string `json:"tenant,omitempty"`
 }
 
-// Quarantined returns what operators see of held requests.
-func Quarantined(all []quarantine.QuarantinedRequest) []HeldRequest {
-	out := make([]HeldRequest, len(all))
-	for i, h := range all {
+// Quarantined returns the response of PathQuarantine.
+func Quarantined(requests []quarantine.QuarantinedRequest) []HeldRequest {
+	out := make([]HeldRequest, len(requests))
+	for i, r := range requests {
 		out[i] = HeldRequest{
-			Fingerprint: h.Request.String(),
-			Service:     h.Service,
-			Falls:       h.Crashes,
-			SinceMs:     h.HeldFor.Milliseconds(),
-			TriedMs:     h.RetryAfter.Milliseconds(),
-			Refused:     h.Refused,
-			Method:      h.About.Method,
-			Host:        h.About.Host,
-			Target:      h.About.Target,
-			Tenant:      h.About.Tenant,
+			Fingerprint: r.Request.String(),
+			Service:     r.Service,
+			Falls:       r.Crashes,
+			SinceMs:     r.HeldFor.Milliseconds(),
+			TriedMs:     r.RetryAfter.Milliseconds(),
+			Refused:     r.Refused,
+			Method:      r.About.Method,
+			Host:        r.About.Host,
+			Target:      r.About.Target,
+			Tenant:      r.About.Tenant,
 		}
 	}
 	return out
--- a/internal/admin/quota.go
+++ b/internal/admin/quota.go
@@ -1,18 +1,18 @@
 package admin
 
-// PathQuotas lists the customers of the table with their limits.
+// PathQuotas is the path of the table's customers, with their limits and usage.
 const PathQuotas = "/quotas"
 
-// CustomerQuota is a customer in an answer of PathQuotas.
+// CustomerQuota is a customer in a response of PathQuotas.
 type CustomerQuota struct {
 	Customer string  `json:"customer"`
-	Keys     int     `json:"keys"`             // how many it has; none is shown
-	Rate     float64 `json:"rate"`             // requests per second over the fleet; 0 for any
+	Keys     int     `json:"keys"`             // number of API keys; the keys are not shown
+	Rate     float64 `json:"rate"`             // requests per second over the fleet; 0 for no limit
 	Burst    float64 `json:"burst"`            // requests beyond the rate at once
-	Home     string  `json:"home,omitempty"`   // node that lends its tokens; empty without a limit
-	Tokens   float64 `json:"tokens,omitempty"` // left there, if that is the node that answers
-	// Taken and Refused count its requests at the node that answers, since they were last
-	// forgotten.
+	Home     string  `json:"home,omitempty"`   // owner of the token bucket; empty without a limit
+	Tokens   float64 `json:"tokens,omitempty"` // left in the bucket, if the responding node owns it
+	// Taken and Refused count requests that the responding node admitted and refused since
+	// it last dropped the customer's state.
 	Taken   int64 `json:"taken"`
 	Refused int64 `json:"refused"`
 }
--- a/internal/console/demo.go
+++ b/internal/console/demo.go
@@ -1,5 +1,5 @@
-// Package console is the demo: a whole small fleet in one process with a web
-// page, where cells of the table are edited and the fleet is watched following.
+// Package console implements the demo: a small fleet in one process with a web page that
+// edits cells of the table and shows how the nodes take the new version into force.
 package console
 
 import (
@@ -31,31 +31,33 @@
 type DemoConfig struct {
 	Listen string
 	Layout standin.Layout
-	Rate   float64 // requests a second of the trickle
-	Out    io.Writer
-	Log    io.Writer
+	Rate   float64   // requests per second of the background load
+	Out    io.Writer // receives the addresses of the page, the platform and a node
+	Log    io.Writer // receives the nodes' log lines
 }
 
 //go:embed page.html
-var page string
+var pageHTML string
 
-// Timing of the demo.
 const (
-	convergeLimit  = 20 * time.Second
+	// convergeTimeout bounds the wait until all nodes have an edited table in force.
+	convergeTimeout = 20 * time.Second
+	// requestTimeout bounds a request of the background load, and the reading of a request's
+	// header by the page's server.
 	requestTimeout = 2 * time.Second
 )
 
-// demo is the running demo.
+// demo is the state of the running demo.
 type demo struct {
 	cfg   DemoConfig
 	fleet *fleet.Fleet
-	load  *bench.Load
+	load  *bench.Load // background load
 
 	mu    sync.Mutex
 	edits []editResult // newest first
 }
 
-// editResult tells what became of one edit.
+// editResult is the progress or the result of one edit, as the page shows it.
 type editResult struct {
 	Cell    string  `json:"cell"`
 	Version string  `json:"version,omitempty"`
@@ -64,17 +66,17 @@
 	Pending bool    `json:"pending"`
 }
 
-// maxEdits bounds the edits shown.
+// maxEdits is the number of edits shown.
 const maxEdits = 10
 
 // RunDemo runs the demo until ctx ends, then shuts the fleet down gracefully.
 func RunDemo(ctx context.Context, cfg DemoConfig) error {
 	if cfg.Rate <= 0 {
-		return errors.New("the rate must be positive")
+		return errors.New("request rate must be positive")
 	}
 	listener, err := net.Listen("tcp", cfg.Listen)
 	if err != nil {
-		return errors.Wrap(err, "page address")
+		return errors.Wrap(err, "listen for the web page")
 	}
 	defer func() { _ = listener.Close() }()
 	f, err := fleet.StartReady(ctx, fleet.Config{Placements: cfg.Layout.Placements(), Table: cfg.Layout.Table(), Log: cfg.Log, LogLevel: "warn"})
@@ -94,16 +96,16 @@
 	d.load = bench.NewLoad(bench.LoadConfig{Targets: targets, Streams: bench.StreamsOf(d.cfg.Layout), Rate: d.cfg.Rate, Timeout: requestTimeout, Seed: 1})
 	srv := &http.Server{Handler: d.handler(), ReadHeaderTimeout: requestTimeout}
 	var group sync.WaitGroup
-	loading, stopLoad := context.WithCancel(ctx)
+	loadCtx, stopLoad := context.WithCancel(ctx)
 	defer stopLoad()
-	group.Go(func() { d.load.Run(loading) })
+	group.Go(func() { d.load.Run(loadCtx) })
 	group.Go(func() {
-		<-loading.Done()
+		<-loadCtx.Done()
 		_ = srv.Close()
 	})
-	first := d.fleet.Nodes()[0]
+	firstNode := d.fleet.Nodes()[0]
 	_, _ = fmt.Fprintf(d.cfg.Out, "page:      http://%s/\nplatform:  %s\nany node:  walldrift status --node %s\na request: curl -i http://%s%s/x\nstop:      Ctrl-C\n",
-		listener.Addr(), d.fleet.PlatformURL(), first.Admin(), first.Callers(), d.cfg.Layout.Groups[0].Prefix)
+		listener.Addr(), d.fleet.PlatformURL(), firstNode.Admin(), firstNode.Callers(), d.cfg.Layout.Groups[0].Prefix)
 	err := srv.Serve(listener)
 	stopLoad()
 	group.Wait()
@@ -116,14 +118,14 @@
 func (d *demo) handler() http.Handler {
 	e := echo.New()
 	e.HideBanner, e.HidePort = true, true
-	e.GET("/", func(c echo.Context) error { return c.HTML(http.StatusOK, page) })
-	e.GET("/api/state", d.getState)
-	e.POST("/api/edit", d.postEdit)
+	e.GET("/", func(c echo.Context) error { return c.HTML(http.StatusOK, pageHTML) })
+	e.GET("/api/state", d.handleState)
+	e.POST("/api/edit", d.handleEdit)
 	return e
 }
 
-// state is what the page shows.
-type state struct {
+// pageState is the JSON document that the page shows.
+type pageState struct {
 	Table  [][]string                `json:"table"`
 	Fleet  []distribution.NodeStatus `json:"fleet"`
 	Load   []bench.Summary           `json:"load"`
@@ -132,7 +134,7 @@
 	Source standin.Counts            `json:"source"`
 }
 
-func (d *demo) getState(c echo.Context) error {
+func (d *demo) handleState(c echo.Context) error {
 	v, _ := d.fleet.Platform.Get(platform.KeyTable)
 	recs, err := csv.NewReader(strings.NewReader(string(v.Raw))).ReadAll()
 	if err != nil {
@@ -145,12 +147,12 @@
 	d.mu.Lock()
 	edits := append([]editResult(nil), d.edits...)
 	d.mu.Unlock()
-	return c.JSON(http.StatusOK, state{
+	return c.JSON(http.StatusOK, pageState{
 		Table: recs, Fleet: nodes, Load: d.load.Summaries(), Bounds: bench.SummaryBounds, Edits: edits, Source: d.fleet.Platform.Counts(),
 	})
 }
 
-// editRequest is one cell edited on the page.
+// editRequest is an edit of one cell, sent by the page.
 type editRequest struct {
 	Row    table.RowType `json:"row"`
 	Name   string        `json:"name"`
@@ -158,50 +160,53 @@
 	Value  string        `json:"value"`
 }
 
-// postEdit acts as an operator's tool: it reads the platform's table, changes
-// the cell, raises the edition and publishes if nobody else did meanwhile. A
-// bad table is published as well: the fleet refuses it and says why.
-func (d *demo) postEdit(c echo.Context) error {
-	var q editRequest
-	if err := c.Bind(&q); err != nil {
+// handleEdit does what an operator's tool does: it reads the platform's table, changes the
+// cell, increments the edition and publishes the table unless another edit was published
+// meanwhile. An invalid table is published as well, to show that the nodes reject it.
+func (d *demo) handleEdit(c echo.Context) error {
+	var edit editRequest
+	if err := c.Bind(&edit); err != nil {
 		return err
 	}
-	cell := fmt.Sprintf("%s %s %s = %q", q.Row, q.Name, q.Column, q.Value)
+	cell := fmt.Sprintf("%s %s %s = %q", edit.Row, edit.Name, edit.Column, edit.Value)
 	old, _ := d.fleet.Platform.Get(platform.KeyTable)
-	next, err := table.Set(old.Raw, table.Edit{Row: q.Row, Name: q.Name, Column: q.Column, Value: q.Value})
+	next, err := table.Set(old.Raw, table.Edit{Row: edit.Row, Name: edit.Name, Column: edit.Column, Value: edit.Value})
 	if err != nil {
-		return d.refuse(c, http.StatusBadRequest, editResult{Cell: cell, Error: err.Error()})
+		return d.rejectEdit(c, http.StatusBadRequest, editResult{Cell: cell, Error: err.Error()})
 	}
 	if !d.fleet.Platform.PutIf(platform.KeyTable, next, old.Index) {
-		return d.refuse(c, http.StatusConflict, editResult{Cell: cell, Error: "overtaken by another edit; look at the table and try again"})
+		return d.rejectEdit(c, http.StatusConflict, editResult{Cell: cell, Error: "another edit was published first; check the table and try again"})
 	}
 	id := version.Of(table.EditionOf(next), next)
 	result := editResult{Cell: cell, Version: id.String(), Pending: true}
 	if _, err := snapshot.Build(next); err != nil {
-		result.Pending, result.Error = false, "published, and refused by the nodes that read it: "+err.Error()
+		result.Pending, result.Error = false, "published, but rejected by the nodes that read it: "+err.Error()
 	}
-	d.remember(result)
+	d.addEdit(result)
 	if result.Pending {
-		go d.follow(id)
+		go d.awaitConvergence(id)
 	}
 	return c.JSON(http.StatusOK, result)
 }
 
-func (d *demo) refuse(c echo.Context, status int, r editResult) error {
-	d.remember(r)
+// rejectEdit answers an edit that was not published.
+func (d *demo) rejectEdit(c echo.Context, status int, r editResult) error {
+	d.addEdit(r)
 	return c.JSON(status, r)
 }
 
-func (d *demo) remember(r editResult) {
+// addEdit adds an edit to those shown and drops the oldest beyond maxEdits.
+func (d *demo) addEdit(r editResult) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.edits = append([]editResult{r}, d.edits...)
 	d.edits = d.edits[:min(len(d.edits), maxEdits)]
 }
 
-// follow notes when the whole fleet has the version in force.
-func (d *demo) follow(id version.ID) {
-	ctx, cancel := context.WithTimeout(context.Background(), convergeLimit)
+// awaitConvergence waits until all nodes have the version in force, and records the result
+// with the edits of that version.
+func (d *demo) awaitConvergence(id version.ID) {
+	ctx, cancel := context.WithTimeout(context.Background(), convergeTimeout)
 	defer cancel()
 	took, err := d.fleet.AwaitVersion(ctx, id)
 	d.mu.Lock()
