--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,13 +1,13 @@
-// Package clock tells a time that never goes back and counts the time for which the
-// machine was suspended.
+// Package clock provides a time that never goes back and that includes the time for which
+// the machine was suspended.
 //
-// Go's own clock counts neither: its steady reading (CLOCK_MONOTONIC) stands still while
-// a machine is suspended, and the time of day is stepped. With the steady one alone a
-// node that was suspended takes news that are older by that time for fresh and tells
-// others so, and runs requests whose callers have left. Ages, deadlines and windows that
-// may span a suspension are therefore reckoned in the times of this package. Timers,
-// contexts and deadlines of connections follow the steady clock: Until and Steady
-// convert.
+// Go's clocks offer only one of the two: the monotonic clock (CLOCK_MONOTONIC) stands still
+// while the machine is suspended, and the wall clock can be stepped. By the monotonic clock
+// alone, a node that was suspended underestimates the staleness of its state by the length
+// of the suspension, reports the wrong value to its peers, and runs requests whose callers
+// have disconnected. Ages, deadlines and windows that may span a suspension are therefore
+// computed with the times of this package. Timers, contexts and connection deadlines follow
+// the monotonic clock; Until and Steady convert to it.
 package clock
 
 import (
@@ -18,65 +18,68 @@
 	"github.com/walldrift/walldrift/internal/periodic"
 )
 
-// suspended is the time that the steady clock has not counted, in nanoseconds: as the
-// system tells, and added by Advance.
-var suspended, added atomic.Int64
+// suspended and advanced are the parts of the time that the monotonic clock has not counted,
+// in nanoseconds: as reported by the system, and added by Advance.
+var suspended, advanced atomic.Int64
 
-func uncountedYet() time.Duration { return time.Duration(suspended.Load() + added.Load()) }
+// suspendedTime returns the time that the monotonic clock has not counted since the process
+// started.
+func suspendedTime() time.Duration { return time.Duration(suspended.Load() + advanced.Load()) }
 
-// Now returns the time. Of two times the difference counts suspensions that were
-// noticed between them.
-func Now() time.Time { return time.Now().Add(uncountedYet()) }
+// Now returns the current time. The difference of two times includes the suspensions that
+// Watch detected between them.
+func Now() time.Time { return time.Now().Add(suspendedTime()) }
 
-// Since returns the time that has passed since t, a time of this package.
+// Since returns the time elapsed since t, which must come from this package.
 func Since(t time.Time) time.Duration { return Now().Sub(t) }
 
-// Until returns the time that is left until t, a time of this package.
+// Until returns the duration until t, which must come from this package.
 func Until(t time.Time) time.Duration { return t.Sub(Now()) }
 
-// Steady returns the time of the steady clock at which t, a time of this package, comes
-// if no further suspension does.
+// Steady converts t, which must come from this package, to the time of the monotonic clock at
+// which t is reached if the machine is not suspended again. The zero time stays zero.
 func Steady(t time.Time) time.Time {
 	if t.IsZero() {
 		return t
 	}
-	return t.Add(-uncountedYet())
+	return t.Add(-suspendedTime())
 }
 
-// WithDeadline is context.WithDeadline for a time of this package.
+// WithDeadline is context.WithDeadline for a deadline that comes from this package. A later
+// suspension does not bring the end of the context forward.
 func WithDeadline(ctx context.Context, at time.Time) (context.Context, context.CancelFunc) {
 	return context.WithDeadline(ctx, Steady(at))
 }
 
-// Advance adds time that the steady clock has not counted, for tests without a
-// suspension.
-func Advance(d time.Duration) { added.Add(int64(d)) }
+// Advance simulates a suspension of length d, for tests. A negative d takes one back.
+func Advance(d time.Duration) { advanced.Add(int64(d)) }
 
 const (
-	// watchEvery is how often a suspension is looked for. For so long after one, times
-	// are still too young.
-	watchEvery = 100 * time.Millisecond
-	// leastSuspension is the shortest one that is noticed: longer than two looks at
-	// clocks take.
-	leastSuspension = 10 * time.Millisecond
+	// checkInterval is the interval at which Watch checks for a suspension. For up to this
+	// long after a suspension, Now does not include it yet.
+	checkInterval = 100 * time.Millisecond
+	// minSuspension is the shortest suspension that is detected. It is longer than two
+	// readings of the clocks take, so that a delay between them is not mistaken for one.
+	minSuspension = 10 * time.Millisecond
 )
 
-// atStart is what the steady clock had not counted when the process started.
-var atStart, known = uncounted()
+// suspendedAtStart is the time for which the machine had been suspended when the process
+// started; supported says whether the system reports it.
+var suspendedAtStart, supported = suspendedSinceBoot()
 
-// Watch notices suspensions of the machine until ctx ends, and tells of each. It does
-// nothing on systems that do not tell.
-func Watch(ctx context.Context, noticed func(time.Duration)) {
-	if !known {
+// Watch detects suspensions of the machine until ctx ends, and calls onSuspension with the
+// length of each. It returns at once on systems that do not report suspensions.
+func Watch(ctx context.Context, onSuspension func(time.Duration)) {
+	if !supported {
 		return
 	}
-	last := atStart
-	periodic.Run(ctx, watchEvery, func(time.Time) {
-		now, ok := uncounted()
-		if gap := now - last; ok && gap >= leastSuspension {
-			last = now
-			suspended.Store(int64(now - atStart))
-			noticed(gap)
+	last := suspendedAtStart
+	periodic.Run(ctx, checkInterval, func(time.Time) {
+		total, ok := suspendedSinceBoot()
+		if gap := total - last; ok && gap >= minSuspension {
+			last = total
+			suspended.Store(int64(total - suspendedAtStart))
+			onSuspension(gap)
 		}
 	})
 }
--- a/internal/peerhttp/peerhttp.go
+++ b/internal/peerhttp/peerhttp.go
@@ -1,5 +1,5 @@
-// Package peerhttp carries questions between nodes and their answers: CBOR in the bodies
-// of HTTP requests, which a header tells from the requests of callers.
+// Package peerhttp sends requests from node to node: HTTP requests with CBOR bodies. A header
+// that names the kind of the request distinguishes them from the requests of callers.
 package peerhttp
 
 import (
@@ -13,19 +13,19 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Ask sends a question to the node at an address and reads its answer, of at most so many
-// bytes. The header says what is asked.
-func Ask(ctx context.Context, via http.RoundTripper, node netip.AddrPort, header string, question, answer any, most int64) error {
-	raw, err := cbor.Marshal(question)
+// Ask sends a request to the node at addr and decodes the response of at most maxBytes into
+// response. The header names the kind of the request. A status other than 200 is an error.
+func Ask(ctx context.Context, transport http.RoundTripper, addr netip.AddrPort, header string, request, response any, maxBytes int64) error {
+	raw, err := cbor.Marshal(request)
 	if err != nil {
-		return errors.Wrap(err, "question")
+		return errors.Wrap(err, "peer request")
 	}
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+node.String()+"/", bytes.NewReader(raw))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr.String()+"/", bytes.NewReader(raw))
 	if err != nil {
-		return errors.Wrap(err, "question")
+		return errors.Wrap(err, "peer request")
 	}
 	req.Header.Set(header, "1")
-	resp, err := via.RoundTrip(req)
+	resp, err := transport.RoundTrip(req)
 	if err != nil {
 		return err
 	}
@@ -33,25 +33,27 @@
 	if resp.StatusCode != http.StatusOK {
 		return errors.New(resp.Status)
 	}
-	return errors.Wrap(Read(resp.Body, answer, most), "answer")
+	return errors.Wrap(Read(resp.Body, response, maxBytes), "peer response")
 }
 
-// Read reads a question or an answer of at most so many bytes.
-func Read(r io.Reader, into any, most int64) error {
-	raw, err := io.ReadAll(io.LimitReader(r, most))
+// Read decodes a request or a response of at most maxBytes into v. A longer one is cut off,
+// which fails the decoding.
+func Read(r io.Reader, v any, maxBytes int64) error {
+	raw, err := io.ReadAll(io.LimitReader(r, maxBytes))
 	if err != nil {
 		return err
 	}
-	return cbor.Unmarshal(raw, into)
+	return cbor.Unmarshal(raw, v)
 }
 
-// Answer sends an answer. An error says that it could not be encoded, which the asking
-// node is told; one that has left asks again.
-func Answer(w http.ResponseWriter, answer any) error {
-	raw, err := cbor.Marshal(answer)
+// Answer sends a response. It returns an error if the response could not be encoded; the
+// requesting node then gets status 500. Failed writes are ignored, since a node that has
+// disconnected sends its request again.
+func Answer(w http.ResponseWriter, response any) error {
+	raw, err := cbor.Marshal(response)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
-		return errors.Wrap(err, "answer")
+		return errors.Wrap(err, "peer response")
 	}
 	_, _ = w.Write(raw)
 	return nil
--- a/internal/periodic/periodic.go
+++ b/internal/periodic/periodic.go
@@ -1,4 +1,4 @@
-// Package periodic runs background work at regular times.
+// Package periodic runs background work at regular intervals.
 package periodic
 
 import (
@@ -6,15 +6,16 @@
 	"time"
 )
 
-// Run calls work every interval, with the time, until ctx ends.
+// Run calls work with the current time every interval until ctx ends. The first call is one
+// interval after the start. Intervals that pass during a slow call are not made up for.
 func Run(ctx context.Context, interval time.Duration, work func(now time.Time)) {
-	tick := time.NewTicker(interval)
-	defer tick.Stop()
+	ticker := time.NewTicker(interval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case now := <-tick.C:
+		case now := <-ticker.C:
 			work(now)
 		}
 	}
--- a/internal/periodic/periodic_test.go
+++ b/internal/periodic/periodic_test.go
@@ -9,13 +9,14 @@
 	"gotest.tools/v3/assert"
 )
 
+// Run calls work once per interval and returns once its context has ended.
 func TestRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
-		began, calls := time.Now(), 0
+		start, calls := time.Now(), 0
 		Run(ctx, time.Second, func(now time.Time) {
 			calls++
-			assert.Equal(t, now.Sub(began), time.Duration(calls)*time.Second)
+			assert.Equal(t, now.Sub(start), time.Duration(calls)*time.Second)
 			if calls == 3 {
 				stop()
 			}
--- a/internal/proptest/proptest.go
+++ b/internal/proptest/proptest.go
@@ -1,6 +1,5 @@
-// Package proptest fixes the seeds of property tests, so that every run gives
-// the same verdict. Other seeds, more checks and more steps are had by rapid's
-// own flags, as in:
+// Package proptest fixes the seed of property tests, so that every run has the same result.
+// The flags of package rapid select another seed, more checks and more steps:
 //
 //	go test ./internal/ledger -rapid.seed=0 -rapid.checks=10000 -rapid.steps=200
 package proptest
@@ -11,22 +10,23 @@
 	"testing"
 )
 
-// fixedSeed is used unless -rapid.seed is given.
+// fixedSeed is the seed unless the flag -rapid.seed is given.
 const fixedSeed = "20261202"
 
-// Main runs the tests of a package with the fixed seed. Call it from TestMain.
+// Main runs the tests of a package with the fixed seed and exits the process. Call it from
+// TestMain. Rapid writes no files for failed tests.
 func Main(m *testing.M) {
 	flag.Parse()
-	given := false
-	flag.Visit(func(f *flag.Flag) { given = given || f.Name == "rapid.seed" })
-	if !given {
-		set("rapid.seed", fixedSeed)
+	seedGiven := false
+	flag.Visit(func(f *flag.Flag) { seedGiven = seedGiven || f.Name == "rapid.seed" })
+	if !seedGiven {
+		setFlag("rapid.seed", fixedSeed)
 	}
-	set("rapid.nofailfile", "true")
+	setFlag("rapid.nofailfile", "true")
 	os.Exit(m.Run())
 }
 
-func set(name, value string) {
+func setFlag(name, value string) {
 	if err := flag.Set(name, value); err != nil {
 		panic(err)
 	}
--- a/internal/telemetry/async.go
+++ b/internal/telemetry/async.go
@@ -8,26 +8,25 @@
 	"time"
 )
 
-// AsyncWriter writes in the background, so that an output that nobody reads
-// never blocks a request. What does not fit into its buffer is dropped and
-// counted.
+// AsyncWriter writes lines in the background, so that an output that nobody reads never
+// blocks a request. Lines that do not fit into its buffer are dropped and counted.
 type AsyncWriter struct {
-	out     io.Writer
-	lines   chan []byte
-	dropped atomic.Int64
-	stop    sync.Once
-	done    chan struct{}
+	out      io.Writer
+	lines    chan []byte // a nil line ends run
+	dropped  atomic.Int64
+	stopOnce sync.Once
+	done     chan struct{} // closed when run has ended
 }
 
-// NewAsyncWriter returns a writer to out that holds up to the given number of
-// lines.
-func NewAsyncWriter(out io.Writer, lines int) *AsyncWriter {
-	w := &AsyncWriter{out: out, lines: make(chan []byte, lines), done: make(chan struct{})}
+// NewAsyncWriter returns a writer to out that buffers up to capacity lines. Flush ends its
+// goroutine.
+func NewAsyncWriter(out io.Writer, capacity int) *AsyncWriter {
+	w := &AsyncWriter{out: out, lines: make(chan []byte, capacity), done: make(chan struct{})}
 	go w.run()
 	return w
 }
 
-// Write takes a copy of a line and never blocks.
+// Write buffers a copy of p, which is one line. It never blocks and returns no error.
 func (w *AsyncWriter) Write(p []byte) (int, error) {
 	line := append([]byte(nil), p...)
 	select {
@@ -38,7 +37,8 @@
 	return len(p), nil
 }
 
-// Dropped returns the number of lines that did not fit.
+// Dropped returns the number of lines that did not fit into the buffer or could not be
+// written.
 func (w *AsyncWriter) Dropped() int64 { return w.dropped.Load() }
 
 func (w *AsyncWriter) run() {
@@ -53,12 +53,12 @@
 	}
 }
 
-// Flush writes what is held and stops, within the given time. Later lines are
-// dropped once the buffer is full.
-func (w *AsyncWriter) Flush(limit time.Duration) {
-	ctx, cancel := context.WithTimeout(context.Background(), limit)
+// Flush writes the buffered lines and stops the writer, waiting at most timeout. Lines of
+// later calls to Write stay in the buffer, and are dropped once it is full.
+func (w *AsyncWriter) Flush(timeout time.Duration) {
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
-	w.stop.Do(func() {
+	w.stopOnce.Do(func() {
 		select {
 		case w.lines <- nil:
 		case <-ctx.Done():
--- a/internal/telemetry/async_test.go
+++ b/internal/telemetry/async_test.go
@@ -11,8 +11,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// An output that is never read blocks neither a writer nor the end, and what is
-// held stays bounded.
+// An output that is never read blocks neither Write nor Flush beyond its timeout, and the
+// buffer stays bounded.
 func TestBlockedOutput(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		reader, writer := io.Pipe()
@@ -23,13 +23,13 @@
 			assert.Equal(t, n, 5)
 			synctest.Wait()
 		}
-		// One line is in the blocked write, ten are held.
+		// One line is in the blocked write, ten are buffered.
 		assert.Equal(t, w.Dropped(), int64(1000-11))
-		began := time.Now()
+		start := time.Now()
 		w.Flush(time.Second)
-		assert.Equal(t, time.Since(began), time.Second)
-		// Let the writer end: its writes fail from now on, and the end that found
-		// no room before is given again.
+		assert.Equal(t, time.Since(start), time.Second)
+		// Let the writer's goroutine end: writes to the closed pipe fail, and the nil line
+		// that Flush found no room for is sent again.
 		assert.NilError(t, reader.Close())
 		synctest.Wait()
 		w.lines <- nil
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -1,4 +1,4 @@
-// Package telemetry makes the logger and the metrics of a process.
+// Package telemetry creates the logger and the metrics registry of a process.
 package telemetry
 
 import (
@@ -12,7 +12,8 @@
 	promreporter "github.com/uber-go/tally/v4/prometheus"
 )
 
-// NewLogger returns a logger that writes text or JSON lines.
+// NewLogger returns a logger that writes JSON lines if format is "json", otherwise text. Every
+// line has the name of the instance. An unknown level leaves the default level.
 func NewLogger(w io.Writer, level, format, instance string) *log.Logger {
 	l := log.NewWithOptions(w, log.Options{ReportTimestamp: true, TimeFormat: time.RFC3339Nano})
 	if format == "json" {
@@ -24,17 +25,17 @@
 	return l.With("instance", instance)
 }
 
-// reportInterval is how often buffered metrics reach the end point.
+// reportInterval is the interval at which buffered values reach the metrics handler.
 const reportInterval = time.Second
 
-// Metrics is the root of a process's metrics.
+// Metrics holds the metrics of a process. New metrics are created in Scope.
 type Metrics struct {
 	Scope   tally.Scope
 	handler http.Handler
 	closer  io.Closer
 }
 
-// NewMetrics returns metrics that Handler shows in the Prometheus text format.
+// NewMetrics returns metrics that Handler serves in the Prometheus text format.
 func NewMetrics() *Metrics {
 	registry := prometheus.NewRegistry()
 	reporter := promreporter.NewReporter(promreporter.Options{
@@ -47,7 +48,7 @@
 		CachedReporter:  reporter,
 		Separator:       promreporter.DefaultSeparator,
 		SanitizeOptions: &promreporter.DefaultSanitizerOpts,
-		// The library's own metrics have names that Prometheus refuses.
+		// The names of tally's own metrics are invalid in Prometheus.
 		OmitCardinalityMetrics: true,
 	}, reportInterval)
 	return &Metrics{Scope: scope, handler: reporter.HTTPHandler(), closer: closer}
@@ -56,5 +57,5 @@
 // Handler serves the metrics.
 func (m *Metrics) Handler() http.Handler { return m.handler }
 
-// Close stops reporting.
+// Close stops the reporting of buffered values.
 func (m *Metrics) Close() error { return m.closer.Close() }
