--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -12,17 +12,17 @@
 	"github.com/walldrift/walldrift/internal/distribution"
 )
 
-// SelfStatus is the answer of admin.PathSelf.
+// SelfStatus is the JSON document that admin.PathSelf serves.
 type SelfStatus struct {
 	Node  distribution.NodeStatus `json:"node"`
 	Ready bool                    `json:"ready"`
-	// SinceMicros is when the table came into force, in microseconds since 1970.
-	SinceMicros int64                    `json:"in_force_since_us"`
-	Load        admission.Load           `json:"load"`
-	Wire        distribution.WireTraffic `json:"control_wire_bytes"`
-	Connections int                      `json:"request_connections"`
-	Goroutines  int                      `json:"goroutines"`
-	// Findings of the newest refused table.
+	// InForceSinceMicros is when the table came into force, in microseconds since the Unix epoch.
+	InForceSinceMicros int64                    `json:"in_force_since_us"`
+	Load               admission.Load           `json:"load"`
+	Wire               distribution.WireTraffic `json:"control_wire_bytes"`
+	Connections        int                      `json:"request_connections"`
+	Goroutines         int                      `json:"goroutines"`
+	// Findings are those of the last rejected table; empty if none was rejected.
 	Findings string `json:"findings,omitempty"`
 }
 
@@ -43,35 +43,35 @@
 
 func (n *Node) getReady(c echo.Context) error {
 	if !n.Ready() {
-		return c.String(http.StatusServiceUnavailable, "not ready: "+n.notReady()+"\n")
+		return c.String(http.StatusServiceUnavailable, "not ready: "+n.notReadyReason()+"\n")
 	}
 	return c.String(http.StatusOK, "ready\n")
 }
 
-func (n *Node) notReady() string {
+func (n *Node) notReadyReason() string {
 	switch {
 	case n.leaving.Load():
 		return "leaving"
 	case n.holder.Current() == nil:
 		return "no table"
 	}
-	return "no neighbour has told what it holds"
+	return "no neighbouring node has reported its state"
 }
 
 func (n *Node) getSelf(c echo.Context) error {
-	st := SelfStatus{
-		Node:        n.service.Status(),
-		Ready:       n.Ready(),
-		SinceMicros: n.since.Load(),
-		Load:        n.backend.Load(),
-		Wire:        n.service.WireBytes(c.Request().Context()),
-		Connections: n.pool.Len(),
-		Goroutines:  runtime.NumGoroutine(),
+	status := SelfStatus{
+		Node:               n.service.Status(),
+		Ready:              n.Ready(),
+		InForceSinceMicros: n.inForceSince.Load(),
+		Load:               n.backend.Load(),
+		Wire:               n.service.WireBytes(c.Request().Context()),
+		Connections:        n.pool.Len(),
+		Goroutines:         runtime.NumGoroutine(),
 	}
 	if r, ok := n.service.Refusal(); ok {
-		st.Findings = r.Err.Error()
+		status.Findings = r.Err.Error()
 	}
-	return c.JSON(http.StatusOK, st)
+	return c.JSON(http.StatusOK, status)
 }
 
 func (n *Node) getFleet(c echo.Context) error {
@@ -91,9 +91,9 @@
 }
 
 func (n *Node) getExplain(c echo.Context) error {
-	all, ok := n.frontend.Explain(c.Param("service"))
+	explanations, ok := n.frontend.Explain(c.Param("service"))
 	if !ok {
 		return echo.NewHTTPError(http.StatusNotFound, "no such service")
 	}
-	return c.JSON(http.StatusOK, admin.Explain(all))
+	return c.JSON(http.StatusOK, admin.Explain(explanations))
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,5 +1,5 @@
-// Package node assembles the process that stands beside one upstream
-// instance: distribution, request path and admin pages.
+// Package node assembles the sidecar process of one upstream instance: table
+// distribution, request proxying and the admin pages.
 package node
 
 import (
@@ -28,7 +28,8 @@
 	"github.com/walldrift/walldrift/internal/version"
 )
 
-// Node is one running process of the system.
+// Node is one sidecar: it proxies requests of local callers to upstreams, and requests
+// of other nodes to its own upstream.
 type Node struct {
 	cfg      *settings.Node
 	log      *log.Logger
@@ -46,20 +47,20 @@
 	adminListener   net.Listener
 	leaving         atomic.Bool
 	aborted         atomic.Bool
-	since           atomic.Int64 // when the table came into force, Unix microseconds
-	started         time.Time
+	inForceSince    atomic.Int64 // when the table came into force, Unix microseconds; 0 before the first table
+	startTime       time.Time
 }
 
-// New binds all addresses of the node and prepares it; Run starts it. On an
-// error nothing stays open. wrap stands between the node and its peer socket;
-// nil but in fault trials.
+// New binds all addresses of the node and builds its parts; Run starts it. On an error
+// it closes whatever it opened. wrap, if not nil, wraps the peer socket for fault
+// injection.
 func New(cfg *settings.Node, id *peer.Identity, logger *log.Logger, wrap peer.Wrap) (*Node, error) {
 	n := &Node{
-		cfg:     cfg,
-		log:     logger,
-		metrics: telemetry.NewMetrics(),
-		holder:  &snapshot.Holder{},
-		started: time.Now(),
+		cfg:       cfg,
+		log:       logger,
+		metrics:   telemetry.NewMetrics(),
+		holder:    &snapshot.Holder{},
+		startTime: time.Now(),
 	}
 	if err := n.bind(id, wrap); err != nil {
 		n.closeListeners()
@@ -68,7 +69,7 @@
 	return n, nil
 }
 
-// bind opens the sockets and builds the parts from the inside out.
+// bind opens the listeners, then builds the parts that need their addresses.
 func (n *Node) bind(id *peer.Identity, wrap peer.Wrap) error {
 	var err error
 	if n.callersListener, err = net.Listen("tcp", n.cfg.Callers.String()); err != nil {
@@ -77,22 +78,24 @@
 	if n.adminListener, err = net.Listen("tcp", n.cfg.Admin.String()); err != nil {
 		return errors.Wrap(err, "admin address")
 	}
-	handler := &lateHandler{}
+	handler := &deferredHandler{}
 	if n.endpoint, err = peer.Listen(n.cfg.Peers, id, handler, wrap); err != nil {
 		return err
 	}
-	n.build(n.instance())
+	n.buildParts(n.instance())
 	handler.handler = proxy.NewPeerHandler(n.backend)
 	return nil
 }
 
-// lateHandler stands in until the handler that needs the endpoint is built.
-// No request comes before Run.
-type lateHandler struct{ handler http.Handler }
+// deferredHandler breaks a construction cycle: the endpoint needs a handler, and the real
+// handler needs the endpoint. handler is set before Run, so before any request arrives.
+type deferredHandler struct{ handler http.Handler }
 
-func (l *lateHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) { l.handler.ServeHTTP(w, r) }
+func (l *deferredHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	l.handler.ServeHTTP(w, r)
+}
 
-// instance describes this node as others see it.
+// instance returns the membership entry that this node announces to other nodes.
 func (n *Node) instance() membership.Instance {
 	return membership.Instance{
 		Name:       n.cfg.Name,
@@ -101,11 +104,11 @@
 		Region:     n.cfg.Region,
 		Peer:       netip.AddrPortFrom(n.cfg.Peers.Addr(), n.endpoint.Addr().Port()),
 		State:      membership.ListedLive,
-		Generation: uint64(n.started.UnixMilli()),
+		Generation: uint64(n.startTime.UnixMilli()),
 	}
 }
 
-func (n *Node) build(self membership.Instance) {
+func (n *Node) buildParts(self membership.Instance) {
 	engine := distribution.DefaultEngineConfig()
 	engine.DigestInterval, engine.Readers = n.cfg.DigestInterval, n.cfg.Readers
 	engine.Membership.SuspicionTimeout = n.cfg.SuspicionTimeout
@@ -130,7 +133,7 @@
 		Slots:      n.cfg.Slots,
 		QueueLimit: n.cfg.Queue,
 		Ledger:     keys,
-	}, n.holder, &proxy.PeerClaimer{Dispatch: n.pool, Members: n.service.Member}, requests, n.started)
+	}, n.holder, &proxy.PeerClaimer{Dispatch: n.pool, Members: n.service.Member}, requests, n.startTime)
 	n.pool.SetLocal(n.backend)
 
 	policy := retry.DefaultPolicy()
@@ -147,10 +150,11 @@
 	n.admin = &http.Server{Handler: n.adminHandler(), ReadHeaderTimeout: headerTimeout}
 }
 
-// headerTimeout bounds the wait for a caller's header.
+// headerTimeout bounds how long the server waits for a request's header.
 const headerTimeout = 10 * time.Second
 
-// checkTable decides about a table and prepares to put it in force.
+// checkTable validates a table and returns its version with a Commit that puts it in
+// force. Commit does nothing if the table isn't newer than the one in force.
 func (n *Node) checkTable(raw []byte) (distribution.Checked, error) {
 	snap, err := snapshot.Build(raw)
 	if err != nil {
@@ -162,33 +166,34 @@
 	return distribution.Checked{ID: snap.ID, Commit: func() {
 		if n.holder.Advance(snap) {
 			n.backend.Apply(snap)
-			n.since.Store(time.Now().UnixMicro())
+			n.inForceSince.Store(time.Now().UnixMicro())
 		}
 	}}, nil
 }
 
-// Ready reports whether this node serves callers.
+// Ready reports whether this node serves callers: it has a table, its state is synced
+// with a neighbour, and it isn't shutting down.
 func (n *Node) Ready() bool {
 	return n.holder.Current() != nil && n.service.Synced() && !n.leaving.Load()
 }
 
-// Callers returns the bound address for callers.
+// Callers returns the address on which the node listens for callers.
 func (n *Node) Callers() string { return n.callersListener.Addr().String() }
 
-// Admin returns the bound address of the admin pages.
+// Admin returns the address on which the node serves its admin pages.
 func (n *Node) Admin() string { return n.adminListener.Addr().String() }
 
-// Instance describes this node as others see it.
+// Instance returns the membership entry that this node announces to other nodes.
 func (n *Node) Instance() membership.Instance { return n.instance() }
 
-// Table returns the version in force.
+// Table returns the version of the table in force.
 func (n *Node) Table() version.ID { return n.holder.ID() }
 
-// SetDraining makes the node refuse work for its upstream, or take it again,
-// without telling the others.
+// SetDraining makes the node refuse requests for its upstream, or accept them again.
+// It doesn't announce the change to other nodes.
 func (n *Node) SetDraining(on bool) { n.backend.SetDraining(on) }
 
-// Survey asks all nodes for their status.
+// Survey queries the status of all nodes over the overlay.
 func (n *Node) Survey(ctx context.Context) ([]distribution.NodeStatus, error) {
 	return n.service.QueryStatus(ctx)
 }
--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -13,64 +13,64 @@
 	"github.com/walldrift/walldrift/internal/periodic"
 )
 
-// Timing of the background work.
+// Intervals and limits of the background tasks.
 const (
-	sweepInterval = time.Second
-	healthTimeout = 2 * time.Second
-	drainPoll     = 20 * time.Millisecond
-	// healthLimit bounds the health answer that is read.
-	healthLimit = 1024
+	sweepInterval     = time.Second
+	healthTimeout     = 2 * time.Second
+	drainPollInterval = 20 * time.Millisecond
+	// maxHealthBytes bounds how much of a health response is read.
+	maxHealthBytes = 1024
 )
 
-// ErrNoTable reports that a node found neither the platform nor a peer with a
-// table in the time allowed.
+// ErrNoTable reports that a node got no table from the platform or a peer within the
+// start timeout.
 var ErrNoTable = errors.New("no table")
 
-// Run serves until ctx ends, then shuts down gracefully: it announces the
-// leave, refuses new work, lets requests in progress end, and closes. It
-// returns an error if a listener fails or no table is found in time.
+// Run serves until ctx ends, then shuts down gracefully: it announces that it is
+// leaving, refuses new requests, waits for those in flight, and closes. It returns an
+// error if a listener fails, or ErrNoTable if no table arrives within the start timeout.
 func (n *Node) Run(ctx context.Context) error {
-	// The parts outlive ctx until the drain is over.
-	run, stop := context.WithCancel(context.WithoutCancel(ctx))
-	defer stop()
+	// The background tasks go on after ctx ends, until draining is over.
+	runCtx, stopRun := context.WithCancel(context.WithoutCancel(ctx))
+	defer stopRun()
 	failed := make(chan error, 2)
-	var group sync.WaitGroup
-	group.Go(func() { n.service.Run(run) })
-	group.Go(func() { periodic.Run(run, sweepInterval, n.sweep) })
-	group.Go(func() { n.healthLoop(run) })
-	group.Go(func() { serve(n.admin.Serve(n.adminListener), failed) })
-	group.Go(func() { serve(n.callers.Serve(n.callersListener), failed) })
+	var parts sync.WaitGroup
+	parts.Go(func() { n.service.Run(runCtx) })
+	parts.Go(func() { periodic.Run(runCtx, sweepInterval, n.sweep) })
+	parts.Go(func() { n.healthLoop(runCtx) })
+	parts.Go(func() { reportServeError(n.admin.Serve(n.adminListener), failed) })
+	parts.Go(func() { reportServeError(n.callers.Serve(n.callersListener), failed) })
 	n.log.Info("node started", "callers", n.Callers(), "peers", n.endpoint.Addr(), "admin", n.Admin())
 	err := n.awaitEnd(ctx, failed)
 	if err == nil && !n.aborted.Load() {
-		n.drain()
+		n.drainAndWait()
 	}
 	_ = n.callers.Close()
 	_ = n.admin.Close()
-	stop()
+	stopRun()
 	n.pool.Close()
-	group.Wait()
+	parts.Wait()
 	n.closeListeners()
 	n.log.Info("node stopped")
 	return err
 }
 
-// Abort makes the end of Run immediate, as if the process were killed: sockets
-// are closed without a word to anybody.
+// Abort closes the sockets without notifying callers or peers, as if the process were
+// killed. Run then doesn't drain when its context ends.
 func (n *Node) Abort() {
 	n.aborted.Store(true)
 	_ = n.callers.Close()
 	n.endpoint.Abort()
 }
 
-func serve(err error, failed chan<- error) {
+func reportServeError(err error, failed chan<- error) {
 	if !errors.Is(err, http.ErrServerClosed) {
 		failed <- err
 	}
 }
 
-// awaitEnd waits for ctx, a failed listener, or the start timeout without a
-// table.
+// awaitEnd waits until ctx ends (nil), a listener fails, or the start timeout expires
+// while the node has no table (ErrNoTable).
 func (n *Node) awaitEnd(ctx context.Context, failed <-chan error) error {
 	start := time.NewTimer(n.cfg.StartTimeout)
 	defer start.Stop()
@@ -82,15 +82,15 @@
 			return err
 		case <-start.C:
 			if n.holder.Current() == nil {
-				return errors.Wrapf(ErrNoTable, "after %s: platform %s and peers gave none", n.cfg.StartTimeout, n.cfg.Platform)
+				return errors.Wrapf(ErrNoTable, "after %s: platform %s and peers returned none", n.cfg.StartTimeout, n.cfg.Platform)
 			}
 		}
 	}
 }
 
-// drain ends the work of this node without cutting a request, within the
-// shutdown timeout.
-func (n *Node) drain() {
+// drainAndWait announces the shutdown, refuses new requests and waits for those in
+// flight. Requests still in flight at the shutdown timeout are cut and counted.
+func (n *Node) drainAndWait() {
 	n.leaving.Store(true)
 	n.log.Info("leaving", "timeout", n.cfg.DrainTimeout)
 	n.service.SetLeaving(true)
@@ -100,7 +100,7 @@
 	defer cancel()
 	_ = n.callers.Shutdown(ctx)
 	for n.backend.InFlight() > 0 && ctx.Err() == nil {
-		time.Sleep(drainPoll)
+		time.Sleep(drainPollInterval)
 	}
 	if ctx.Err() == nil {
 		_ = n.endpoint.Shutdown(ctx)
@@ -114,24 +114,24 @@
 func (n *Node) sweep(now time.Time) {
 	n.pool.Sweep(now)
 	n.frontend.Prune()
-	n.gauges()
+	n.updateGauges()
 }
 
-func (n *Node) gauges() {
+func (n *Node) updateGauges() {
 	load := n.backend.Load()
-	st := n.service.Status()
+	status := n.service.Status()
 	s := n.metrics.Scope
 	s.Gauge("slots_in_use").Update(float64(load.InUse))
 	s.Gauge("requests_waiting").Update(float64(load.Waiting))
-	s.Gauge("table_edition").Update(float64(st.Table.Edition))
-	s.Gauge("source_age_seconds").Update(float64(st.SourceAge) / float64(time.Second/time.Millisecond))
-	s.Gauge("links").Update(float64(st.Links))
+	s.Gauge("table_edition").Update(float64(status.Table.Edition))
+	s.Gauge("source_age_seconds").Update(float64(status.SourceAge) / float64(time.Second/time.Millisecond))
+	s.Gauge("links").Update(float64(status.Links))
 	s.Gauge("request_connections").Update(float64(n.pool.Len()))
 }
 
-// healthLoop asks the upstream whether it leaves. Any other answer is not
-// acted upon: health end points lag or mislead, and the requests themselves
-// tell more.
+// healthLoop polls the upstream's health endpoint for its draining state. Any other
+// response is ignored: health endpoints lag or report wrongly, and the outcome of
+// requests is the better signal.
 func (n *Node) healthLoop(ctx context.Context) {
 	if n.cfg.HealthPath == "" {
 		return
@@ -140,7 +140,7 @@
 	url := n.cfg.Upstream.JoinPath(n.cfg.HealthPath).String()
 	tick := time.NewTicker(n.cfg.HealthPeriod)
 	defer tick.Stop()
-	was := false
+	wasDraining := false
 	for {
 		select {
 		case <-ctx.Done():
@@ -150,21 +150,21 @@
 		if n.leaving.Load() {
 			return
 		}
-		draining, err := askDraining(ctx, client, url)
-		if err != nil || draining == was {
+		draining, err := queryDraining(ctx, client, url)
+		if err != nil || draining == wasDraining {
 			continue
 		}
-		was = draining
+		wasDraining = draining
 		n.log.Info("upstream health", "draining", draining)
 		n.backend.SetDraining(draining)
 		n.service.SetLeaving(draining)
 	}
 }
 
-// drainingWord in the health answer says that the upstream leaves.
-const drainingWord = "draining"
+// drainingMarker in a health response means that the upstream is draining.
+const drainingMarker = "draining"
 
-func askDraining(ctx context.Context, client *http.Client, url string) (bool, error) {
+func queryDraining(ctx context.Context, client *http.Client, url string) (bool, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return false, err
@@ -174,6 +174,6 @@
 		return false, err
 	}
 	defer func() { _ = resp.Body.Close() }()
-	b, err := io.ReadAll(io.LimitReader(resp.Body, healthLimit))
-	return strings.Contains(string(b), drainingWord), err
+	b, err := io.ReadAll(io.LimitReader(resp.Body, maxHealthBytes))
+	return strings.Contains(string(b), drainingMarker), err
 }
--- a/internal/peer/authority.go
+++ b/internal/peer/authority.go
@@ -17,24 +17,25 @@
 	"github.com/cockroachdb/errors"
 )
 
-// developmentLifetime bounds the certificates of a development authority.
-const developmentLifetime = 30 * 24 * time.Hour
+// devCertificateLifetime is the validity period of certificates that a development
+// authority issues.
+const devCertificateLifetime = 30 * 24 * time.Hour
 
-// Authority is a development certificate authority. Production fleets bring
-// their own.
+// Authority is a certificate authority for development and tests. Production fleets use
+// their own authority.
 type Authority struct {
 	cert *x509.Certificate
 	der  []byte
 	key  *ecdsa.PrivateKey
 }
 
-// NewAuthority makes a development authority in memory.
+// NewAuthority generates an authority with a new key. Nothing is written to disk.
 func NewAuthority() (*Authority, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		return nil, errors.Wrap(err, "authority key")
 	}
-	tmpl := template("walldrift development authority")
+	tmpl := certificateTemplate("walldrift development authority")
 	tmpl.IsCA = true
 	tmpl.BasicConstraintsValid = true
 	tmpl.KeyUsage = x509.KeyUsageCertSign
@@ -49,23 +50,23 @@
 	return &Authority{cert: cert, der: der, key: key}, nil
 }
 
-func template(name string) *x509.Certificate {
+func certificateTemplate(name string) *x509.Certificate {
 	now := time.Now()
 	return &x509.Certificate{
 		SerialNumber: big.NewInt(now.UnixNano()),
 		Subject:      pkix.Name{CommonName: name},
 		NotBefore:    now.Add(-time.Hour),
-		NotAfter:     now.Add(developmentLifetime),
+		NotAfter:     now.Add(devCertificateLifetime),
 	}
 }
 
-// Issue makes the identity of one instance.
+// Issue generates a key and a certificate for the named instance.
 func (a *Authority) Issue(name string) (*Identity, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		return nil, errors.Wrap(err, "instance key")
 	}
-	tmpl := template(name)
+	tmpl := certificateTemplate(name)
 	tmpl.DNSNames = []string{name}
 	tmpl.IPAddresses = []net.IP{net.IPv4(127, 0, 0, 1)}
 	tmpl.KeyUsage = x509.KeyUsageDigitalSignature
@@ -76,31 +77,32 @@
 	}
 	return &Identity{
 		Certificate: tls.Certificate{Certificate: [][]byte{der}, PrivateKey: key},
-		Authority:   a.pool(),
+		Authority:   a.certPool(),
 	}, nil
 }
 
-// pool returns the authority as the only trusted one.
-func (a *Authority) pool() *x509.CertPool {
+// certPool returns a pool that trusts only this authority.
+func (a *Authority) certPool() *x509.CertPool {
 	pool := x509.NewCertPool()
 	pool.AddCert(a.cert)
 	return pool
 }
 
-// Names of the files that WriteFiles makes.
+// Names of the files that WriteFiles writes.
 const (
 	AuthorityFile = "ca.pem"
 	certSuffix    = ".pem"
 	keySuffix     = "-key.pem"
 )
 
-// CertFile returns the certificate file of an instance under dir.
+// CertFile returns the path of an instance's certificate file in dir.
 func CertFile(dir, name string) string { return filepath.Join(dir, name+certSuffix) }
 
-// KeyFile returns the key file of an instance under dir.
+// KeyFile returns the path of an instance's private key file in dir.
 func KeyFile(dir, name string) string { return filepath.Join(dir, name+keySuffix) }
 
-// WriteFiles issues an identity for each name and writes PEM files to dir.
+// WriteFiles issues an identity for each name and writes the authority, certificates
+// and private keys to dir as PEM files.
 func (a *Authority) WriteFiles(dir string, names []string) error {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return errors.Wrap(err, "certificate directory")
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -11,19 +11,19 @@
 	"github.com/walldrift/walldrift/internal/distribution"
 )
 
-// Application error codes of control connections.
+// QUIC application error codes that close control connections.
 const (
 	codeClosed quic.ApplicationErrorCode = iota
-	codeBusy
+	codeRejected
 )
 
-// frameHeader is the length prefix of a message: four bytes, big endian.
-const frameHeader = 4
+// frameHeaderBytes is the size of a frame's length prefix, a big-endian uint32.
+const frameHeaderBytes = 4
 
-// sendTimeout bounds the wait for a peer that does not read.
+// sendTimeout bounds how long Send blocks while the peer doesn't read.
 const sendTimeout = 5 * time.Second
 
-// link is one control link: a QUIC connection with one stream of frames.
+// link is a control link: a QUIC connection with one stream of length-prefixed frames.
 type link struct {
 	conn    *quic.Conn
 	stream  *quic.Stream
@@ -35,15 +35,15 @@
 	return &link{conn: conn, stream: stream, peer: peer, dialled: dialled}
 }
 
-// Peer returns the instance name from the peer's certificate.
+// Peer returns the peer's instance name, which its certificate proves.
 func (l *link) Peer() string { return l.peer }
 
-// Dialled reports whether this side opened the link.
+// Dialled reports whether this node opened the link.
 func (l *link) Dialled() bool { return l.dialled }
 
-// Send writes one frame.
+// Send writes msg as one frame. It fails after sendTimeout.
 func (l *link) Send(msg []byte) error {
-	buf := make([]byte, frameHeader, frameHeader+len(msg))
+	buf := make([]byte, frameHeaderBytes, frameHeaderBytes+len(msg))
 	binary.BigEndian.PutUint32(buf, uint32(len(msg)))
 	buf = append(buf, msg...)
 	if err := l.stream.SetWriteDeadline(time.Now().Add(sendTimeout)); err != nil {
@@ -53,29 +53,30 @@
 	return err
 }
 
-// Receive reads one frame.
+// Receive reads one frame. A frame longer than distribution.MaxMessage is an error.
 func (l *link) Receive() ([]byte, error) {
-	var head [frameHeader]byte
-	if _, err := io.ReadFull(l.stream, head[:]); err != nil {
+	var header [frameHeaderBytes]byte
+	if _, err := io.ReadFull(l.stream, header[:]); err != nil {
 		return nil, err
 	}
-	n := binary.BigEndian.Uint32(head[:])
-	if n > distribution.MaxMessage {
-		return nil, errors.Newf("frame of %d bytes", n)
+	size := binary.BigEndian.Uint32(header[:])
+	if size > distribution.MaxMessage {
+		return nil, errors.Newf("frame of %d bytes exceeds the limit", size)
 	}
-	return readExactly(l.stream, int(n))
+	return readFrameBody(l.stream, int(size))
 }
 
-// readChunk is the largest buffer made before its bytes have arrived.
+// readChunk is the most memory that is allocated ahead of the bytes that arrive.
 const readChunk = 64 << 10
 
-// readExactly reads n bytes without trusting n for the allocation.
-func readExactly(r io.Reader, n int) ([]byte, error) {
+// readFrameBody reads n bytes in chunks, so that a peer that announces a large frame and
+// sends little can't make this node allocate n bytes.
+func readFrameBody(r io.Reader, n int) ([]byte, error) {
 	buf := make([]byte, 0, min(n, readChunk))
 	for len(buf) < n {
-		at := len(buf)
-		buf = append(buf, make([]byte, min(n-at, readChunk))...)
-		if _, err := io.ReadFull(r, buf[at:]); err != nil {
+		offset := len(buf)
+		buf = append(buf, make([]byte, min(n-offset, readChunk))...)
+		if _, err := io.ReadFull(r, buf[offset:]); err != nil {
 			return nil, err
 		}
 	}
@@ -88,5 +89,5 @@
 	return st.BytesSent, st.BytesReceived
 }
 
-// Close ends the link.
+// Close closes the connection with the given reason.
 func (l *link) Close(reason string) { _ = l.conn.CloseWithError(codeClosed, reason) }
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -27,44 +27,45 @@
 	return e
 }
 
-func TestControlLinkCarriesFramesBothWays(t *testing.T) {
+func TestControlLinkTransfersFramesInBothDirections(t *testing.T) {
 	a, err := NewAuthority()
 	assert.NilError(t, err)
 	one, two := listen(t, a, "one", nil), listen(t, a, "two", nil)
-	out, err := one.Dial(t.Context(), "two", two.Addr())
+	dialled, err := one.Dial(t.Context(), "two", two.Addr())
 	assert.NilError(t, err)
-	big := make([]byte, 500_000)
-	assert.NilError(t, out.Send([]byte("hello")))
-	in, err := two.Accept(t.Context())
+	large := make([]byte, 500_000)
+	assert.NilError(t, dialled.Send([]byte("hello")))
+	accepted, err := two.Accept(t.Context())
 	assert.NilError(t, err)
-	assert.Equal(t, in.Peer(), "one")
-	got, err := in.Receive()
+	assert.Equal(t, accepted.Peer(), "one")
+	got, err := accepted.Receive()
 	assert.NilError(t, err)
 	assert.Equal(t, string(got), "hello")
-	go func() { _ = in.Send(big) }()
-	got, err = out.Receive()
+	go func() { _ = accepted.Send(large) }()
+	got, err = dialled.Receive()
 	assert.NilError(t, err)
-	assert.Equal(t, len(got), len(big))
+	assert.Equal(t, len(got), len(large))
 }
 
-// A peer of another authority, or under another name, gets nothing.
-func TestStrangersGetNothing(t *testing.T) {
+// A peer whose certificate comes from another authority or names another instance must
+// not get a connection or a response.
+func TestUntrustedPeersAreRejected(t *testing.T) {
 	ours, err := NewAuthority()
 	assert.NilError(t, err)
 	theirs, err := NewAuthority()
 	assert.NilError(t, err)
 	served := false
 	server := listen(t, ours, "server", http.HandlerFunc(func(http.ResponseWriter, *http.Request) { served = true }))
-	friend := listen(t, ours, "friend", nil)
-	_, err = friend.Dial(t.Context(), "somebody-else", server.Addr())
+	trusted := listen(t, ours, "friend", nil)
+	_, err = trusted.Dial(t.Context(), "somebody-else", server.Addr())
 	assert.ErrorContains(t, err, "somebody-else")
 
-	stranger := listen(t, theirs, "friend", nil)
-	stranger.identity.Authority = ours.pool()
+	untrusted := listen(t, theirs, "friend", nil)
+	untrusted.identity.Authority = ours.certPool()
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 	defer cancel()
-	conn, err := stranger.DialRequests(ctx, "server", server.Addr())
-	if err == nil { // TLS 1.3: the client learns of the refusal with its first read
+	conn, err := untrusted.DialRequests(ctx, "server", server.Addr())
+	if err == nil { // with TLS 1.3 the client sees the rejected certificate only on its first read
 		req, err := http.NewRequestWithContext(ctx, http.MethodGet, "https://server/", nil)
 		assert.NilError(t, err)
 		_, err = conn.RoundTrip(req)
@@ -73,26 +74,26 @@
 	assert.Assert(t, !served)
 }
 
-// BenchmarkConnection gives the processor time of one handshake and the memory
-// of one idle request connection, over both ends, for docs/CAPACITY.md.
+// BenchmarkConnection reports the CPU time of one handshake and the memory of one idle
+// request connection, client and server together, for docs/CAPACITY.md.
 func BenchmarkConnection(b *testing.B) {
 	a, err := NewAuthority()
 	assert.NilError(b, err)
 	h := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok") })
 	server, client := listen(b, a, "server", h), listen(b, a, "client", nil)
 	const n = 200
-	memory, cpu := inUse(), cpuTime()
+	memory, cpu := memoryInUse(), cpuTime()
 	for range n {
 		conn, err := client.DialRequests(b.Context(), "server", server.Addr())
 		assert.NilError(b, err)
-		exchange(b, conn)
+		roundTrip(b, conn)
 	}
 	b.ReportMetric(float64((cpuTime()-cpu).Microseconds())/n, "cpu-us/conn")
-	b.ReportMetric(float64(inUse()-memory)/n, "B/conn")
+	b.ReportMetric(float64(memoryInUse()-memory)/n, "B/conn")
 }
 
-// BenchmarkRequest gives the processor time of one small request over an open
-// connection, both ends.
+// BenchmarkRequest reports the CPU time of one small request over an open connection,
+// client and server together.
 func BenchmarkRequest(b *testing.B) {
 	a, err := NewAuthority()
 	assert.NilError(b, err)
@@ -102,14 +103,14 @@
 	assert.NilError(b, err)
 	cpu, calls := cpuTime(), 0
 	for b.Loop() {
-		exchange(b, conn)
+		roundTrip(b, conn)
 		calls++
 	}
 	b.ReportMetric(float64((cpuTime()-cpu).Microseconds())/float64(calls), "cpu-us/call")
 }
 
-// exchange sends one small request and reads its answer.
-func exchange(b *testing.B, conn *http3.ClientConn) {
+// roundTrip sends one small request and reads the whole response.
+func roundTrip(b *testing.B, conn *http3.ClientConn) {
 	b.Helper()
 	req, err := http.NewRequestWithContext(b.Context(), http.MethodGet, "https://server/", nil)
 	assert.NilError(b, err)
@@ -119,14 +120,15 @@
 	assert.NilError(b, err)
 }
 
-// inUse returns heap and stacks in use.
-func inUse() int64 {
+// memoryInUse returns the bytes of heap and stacks in use after a garbage collection.
+func memoryInUse() int64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	return int64(m.HeapInuse + m.StackInuse)
 }
 
+// cpuTime returns the user and system CPU time of this process.
 func cpuTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
--- a/internal/peer/tls.go
+++ b/internal/peer/tls.go
@@ -1,10 +1,10 @@
-// Package peer is the transport between nodes: QUIC with mutual TLS over one
-// UDP socket. It carries framed control links and HTTP/3 requests, told apart
-// by ALPN. Memory holds the in-memory twin of the control links for tests.
+// Package peer is the transport between nodes: QUIC with mutual TLS over one UDP
+// socket. ALPN separates control links, which carry framed messages, from connections
+// that carry HTTP/3 requests.
 //
-// A peer without a certificate of the fleet's authority gets nothing: the
-// handshake fails before any stream exists. A certificate names its instance
-// in its first DNS name, and a dialler accepts only the instance it meant.
+// The handshake with a peer that has no certificate of the fleet's authority fails
+// before any stream exists. A certificate names its instance in its first DNS name, and
+// a dialling node accepts only the instance that it dialled.
 package peer
 
 import (
@@ -17,14 +17,15 @@
 	"github.com/quic-go/quic-go"
 )
 
-// Identity is the key, the certificate and the trusted authority of a node.
+// Identity is a node's private key and certificate, and the authority it trusts.
 type Identity struct {
 	Certificate tls.Certificate
 	Authority   *x509.CertPool
 }
 
-// LoadIdentity reads PEM files. The first DNS name of the certificate must be
-// the instance name.
+// LoadIdentity reads an identity from PEM files. It returns an error unless the
+// certificate is valid for the instance name under the authority. The instance name must
+// be its first DNS name, as peers read no other; LoadIdentity doesn't check the order.
 func LoadIdentity(name, certFile, keyFile, authorityFile string) (*Identity, error) {
 	cert, err := tls.LoadX509KeyPair(certFile, keyFile)
 	if err != nil {
@@ -39,11 +40,11 @@
 		return nil, errors.Newf("authority %s holds no certificate", authorityFile)
 	}
 	id := &Identity{Certificate: cert, Authority: pool}
-	return id, id.check(name)
+	return id, id.verify(name)
 }
 
-// check verifies the certificate against the authority and the name.
-func (id *Identity) check(name string) error {
+// verify checks that the authority signed the certificate and that it is valid for name.
+func (id *Identity) verify(name string) error {
 	leaf, err := x509.ParseCertificate(id.Certificate.Certificate[0])
 	if err != nil {
 		return errors.Wrap(err, "certificate")
@@ -76,9 +77,10 @@
 	}
 }
 
-// resetKey derives the stateless reset key from the private key, so that a
-// restarted node resets the connections of its predecessor at once.
-func (id *Identity) resetKey() (*quic.StatelessResetKey, error) {
+// statelessResetKey derives the QUIC stateless reset key from the private key. A
+// restarted node so has the same key as before, and its peers drop the connections to
+// the earlier process at once instead of waiting for a timeout.
+func (id *Identity) statelessResetKey() (*quic.StatelessResetKey, error) {
 	der, err := x509.MarshalPKCS8PrivateKey(id.Certificate.PrivateKey)
 	if err != nil {
 		return nil, errors.Wrap(err, "private key")
@@ -87,7 +89,7 @@
 	return &key, nil
 }
 
-// peerName returns the instance name in the certificate of the other side.
+// peerName returns the instance name in the peer's certificate: its first DNS name.
 func peerName(state tls.ConnectionState) (string, error) {
 	if len(state.PeerCertificates) == 0 || len(state.PeerCertificates[0].DNSNames) == 0 {
 		return "", errors.New("peer certificate names no instance")
--- a/internal/platform/backoff.go
+++ b/internal/platform/backoff.go
@@ -5,27 +5,27 @@
 	"time"
 )
 
-// Backoff spaces repeated tries: the bound doubles with each failure, and the
-// wait is drawn evenly from zero to the bound, so that a herd spreads out.
-// The zero Backoff is not usable.
+// Backoff is an exponential backoff with full jitter: the bound doubles with each
+// failure, and the delay is uniform between zero and the bound, so that many nodes that
+// fail together don't retry together. The zero Backoff is not usable.
 type Backoff struct {
-	Base time.Duration // bound after the first failure
-	Cap  time.Duration // largest bound
-	fail int
+	Base     time.Duration // upper bound of the delay after the first failure
+	Cap      time.Duration // upper bound of the delay after any number of failures
+	failures int
 }
 
-// maxDoublings keeps the shift of Next in range.
+// maxDoublings keeps the shift in Next in range.
 const maxDoublings = 30
 
-// Next returns the wait after one more failure.
-func (b *Backoff) Next(rnd *rand.Rand) time.Duration {
-	bound := b.Base << min(b.fail, maxDoublings)
+// Next records a failure and returns the delay before the next attempt.
+func (b *Backoff) Next(rng *rand.Rand) time.Duration {
+	bound := b.Base << min(b.failures, maxDoublings)
 	if bound > b.Cap || bound <= 0 {
 		bound = b.Cap
 	}
-	b.fail++
-	return time.Duration(rnd.Int64N(int64(bound) + 1))
+	b.failures++
+	return time.Duration(rng.Int64N(int64(bound) + 1))
 }
 
-// Reset starts over after a success.
-func (b *Backoff) Reset() { b.fail = 0 }
+// Reset records a success: the next delay has the bound Base again.
+func (b *Backoff) Reset() { b.failures = 0 }
--- a/internal/platform/client.go
+++ b/internal/platform/client.go
@@ -1,9 +1,9 @@
-// Package platform reads and watches the platform's configuration service.
+// Package platform reads and watches values of the platform's configuration service.
 //
-// The protocol is the key-value HTTP interface of well-known configuration
-// stores: GET /v1/kv/KEY?raw returns a value, its index comes in the header
-// X-Consul-Index, and a GET with index and wait blocks until the index changes
-// or the wait ends. Nothing is ever written.
+// The protocol is Consul's HTTP interface for key-value pairs: GET /v1/kv/KEY?raw
+// returns a value, the header X-Consul-Index holds its index, and a GET with index and
+// wait is a long poll that returns once the index has changed or the wait is over. This
+// package never writes.
 package platform
 
 import (
@@ -19,65 +19,65 @@
 	"github.com/walldrift/walldrift/internal/table"
 )
 
-// Keys of the published values.
+// Keys under which operators publish the table and the instance list.
 const (
 	KeyTable     = "walldrift/table"
 	KeyInstances = "walldrift/instances"
 )
 
-// HeaderIndex carries the index of a value.
+// HeaderIndex is the response header with the index of a value.
 const HeaderIndex = "X-Consul-Index"
 
-// PathPrefix precedes the key in the URL.
+// PathPrefix is the URL path before the key.
 const PathPrefix = "/v1/kv/"
 
-// ErrNotFound reports a key without a value.
+// ErrNotFound reports that a key has no value.
 var ErrNotFound = errors.New("no value under this key")
 
-// Value is a published value with its index.
+// Value is a published value and its index, which changes with the value.
 type Value struct {
 	Raw   []byte
 	Index uint64
 }
 
-// Source reads the platform. A Read counts as one call, and so does a Watch
-// however long it waits.
+// Source reads values of the platform. A Read is one call to the platform, and so is a
+// Watch, however long it waits.
 type Source interface {
 	Read(ctx context.Context, key string) (Value, error)
-	// Watch waits until the value's index differs from index or the wait ends;
-	// then it returns the value as it is.
+	// Watch waits until the value's index differs from index or the wait is over, and
+	// returns the current value in both cases.
 	Watch(ctx context.Context, key string, index uint64, wait time.Duration) (Value, error)
 }
 
-// Client is the Source over HTTP.
+// Client is a Source that calls the platform over HTTP.
 type Client struct {
 	base string
 	http *http.Client
 }
 
-// NewClient returns a client of the service at base, such as
+// NewClient returns a client for the service at the base URL, such as
 // http://127.0.0.1:8500.
 func NewClient(base string) *Client {
 	t := &http.Transport{MaxIdleConnsPerHost: 2, IdleConnTimeout: 90 * time.Second}
 	return &Client{base: base, http: &http.Client{Transport: t}}
 }
 
-// readTimeout bounds a call beyond the wait it asked for.
-const readTimeout = 5 * time.Second
+// responseAllowance is the time a call may take on top of the wait it requests.
+const responseAllowance = 5 * time.Second
 
-// Read returns the value of key.
+// Read returns the value of key, or ErrNotFound.
 func (c *Client) Read(ctx context.Context, key string) (Value, error) {
-	return c.get(ctx, c.base+PathPrefix+key+"?raw", readTimeout)
+	return c.get(ctx, c.base+PathPrefix+key+"?raw", responseAllowance)
 }
 
-// Watch is described at Source.
+// Watch implements Source.
 func (c *Client) Watch(ctx context.Context, key string, index uint64, wait time.Duration) (Value, error) {
 	url := fmt.Sprintf("%s%s%s?raw&index=%d&wait=%dms", c.base, PathPrefix, key, index, wait.Milliseconds())
-	return c.get(ctx, url, wait+readTimeout)
+	return c.get(ctx, url, wait+responseAllowance)
 }
 
-func (c *Client) get(ctx context.Context, url string, limit time.Duration) (Value, error) {
-	ctx, cancel := context.WithTimeout(ctx, limit)
+func (c *Client) get(ctx context.Context, url string, timeout time.Duration) (Value, error) {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -96,9 +96,9 @@
 	case resp.StatusCode == http.StatusNotFound:
 		return Value{}, ErrNotFound
 	case resp.StatusCode != http.StatusOK:
-		return Value{}, errors.Newf("platform answers %s", resp.Status)
+		return Value{}, errors.Newf("platform responded with status %s", resp.Status)
 	case resp.ContentLength >= 0 && int64(len(raw)) < min(resp.ContentLength, table.MaxBytes+1):
-		return Value{}, errors.New("platform answer is cut")
+		return Value{}, errors.New("platform response is truncated")
 	}
 	index, err := strconv.ParseUint(resp.Header.Get(HeaderIndex), 10, 64)
 	return Value{Raw: raw, Index: index}, errors.Wrap(err, "platform index")
