--- a/internal/bench/baseline.go
+++ b/internal/bench/baseline.go
@@ -12,61 +12,61 @@
 	"time"
 )
 
-// Policy names a way of carrying requests that is compared.
+// Policy names a load balancing policy that the goodput measurement compares.
 type Policy string
 
-// The policies.
+// Policies that MeasureGoodput compares.
 const (
-	// PolicyMesh is the product.
+	// PolicyMesh sends requests through walldrift nodes.
 	PolicyMesh Policy = "walldrift"
-	// PolicyRoundRobin takes upstreams in turn, without admission or retries.
+	// PolicyRoundRobin uses upstreams in turn, without admission control or retries.
 	PolicyRoundRobin Policy = "round-robin"
-	// PolicyLeastConns takes the upstream with the fewest requests in flight
-	// from this proxy, and tries twice more after any error or 5xx.
+	// PolicyLeastConns uses the upstream with the fewest requests in flight from this
+	// proxy, and retries up to twice after a transport error or a 5xx response.
 	PolicyLeastConns Policy = "least-conns-retry"
 )
 
-// baselineTries is the number of tries of PolicyLeastConns.
-const baselineTries = 3
+// leastConnsTries is the number of tries of one request with PolicyLeastConns.
+const leastConnsTries = 3
 
-// baseline is one plain reverse proxy.
-type baseline struct {
+// baselineProxy is a plain reverse proxy that walldrift is compared with.
+type baselineProxy struct {
 	policy   Policy
 	services map[string]*baselineService // by path prefix
 	client   *http.Transport
 }
 
 type baselineService struct {
-	targets []*baselineTarget
-	next    atomic.Uint64
-	timeout time.Duration
+	upstreams []*baselineUpstream
+	next      atomic.Uint64
+	timeout   time.Duration
 }
 
-type baselineTarget struct {
-	url    *url.URL
-	flight atomic.Int64
+type baselineUpstream struct {
+	url      *url.URL
+	inFlight atomic.Int64
 }
 
-func newBaseline(p Policy) *baseline {
-	return &baseline{
+func newBaselineProxy(p Policy) *baselineProxy {
+	return &baselineProxy{
 		policy:   p,
 		services: make(map[string]*baselineService),
 		client:   &http.Transport{MaxIdleConnsPerHost: 256, DisableCompression: true},
 	}
 }
 
-// add names an upstream of the service under a prefix.
-func (b *baseline) add(prefix string, u *url.URL, timeout time.Duration) {
+// addUpstream adds an upstream to the service that serves the path prefix.
+func (b *baselineProxy) addUpstream(prefix string, u *url.URL, timeout time.Duration) {
 	s, ok := b.services[prefix]
 	if !ok {
 		s = &baselineService{timeout: timeout}
 		b.services[prefix] = s
 	}
-	s.targets = append(s.targets, &baselineTarget{url: u})
+	s.upstreams = append(s.upstreams, &baselineUpstream{url: u})
 }
 
-// ServeHTTP carries one request.
-func (b *baseline) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+// ServeHTTP forwards one request, with retries if the policy has them.
+func (b *baselineProxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s := b.service(r.URL.Path)
 	if s == nil {
 		http.NotFound(w, r)
@@ -80,7 +80,7 @@
 	defer cancel()
 	tries := 1
 	if b.policy == PolicyLeastConns {
-		tries = baselineTries
+		tries = leastConnsTries
 	}
 	for i := range tries {
 		if b.try(ctx, w, r, s, string(body), i == tries-1) {
@@ -89,7 +89,7 @@
 	}
 }
 
-func (b *baseline) service(path string) *baselineService {
+func (b *baselineProxy) service(path string) *baselineService {
 	for prefix, s := range b.services {
 		if strings.HasPrefix(path, prefix) {
 			return s
@@ -98,25 +98,26 @@
 	return nil
 }
 
-func (b *baseline) pick(s *baselineService) *baselineTarget {
+func (b *baselineProxy) pick(s *baselineService) *baselineUpstream {
 	n := s.next.Add(1)
 	if b.policy == PolicyRoundRobin {
-		return s.targets[n%uint64(len(s.targets))]
+		return s.upstreams[n%uint64(len(s.upstreams))]
 	}
-	best := s.targets[n%uint64(len(s.targets))]
-	for _, t := range s.targets {
-		if t.flight.Load() < best.flight.Load() {
+	best := s.upstreams[n%uint64(len(s.upstreams))]
+	for _, t := range s.upstreams {
+		if t.inFlight.Load() < best.inFlight.Load() {
 			best = t
 		}
 	}
 	return best
 }
 
-// try makes one try and reports whether the caller has been answered.
-func (b *baseline) try(ctx context.Context, w http.ResponseWriter, r *http.Request, s *baselineService, body string, last bool) bool {
+// try makes one try and reports whether a response was sent to the caller. The last try
+// always sends one.
+func (b *baselineProxy) try(ctx context.Context, w http.ResponseWriter, r *http.Request, s *baselineService, body string, last bool) bool {
 	t := b.pick(s)
-	t.flight.Add(1)
-	defer t.flight.Add(-1)
+	t.inFlight.Add(1)
+	defer t.inFlight.Add(-1)
 	out := r.Clone(ctx)
 	out.RequestURI = ""
 	out.URL.Scheme, out.URL.Host = t.url.Scheme, t.url.Host
@@ -144,7 +145,7 @@
 	return true
 }
 
-// baselineFleet runs one proxy for each node of a fleet.
+// baselineFleet holds one baseline proxy for each node of a fleet.
 type baselineFleet struct {
 	mu      sync.Mutex
 	proxies []*httptest.Server
--- a/internal/bench/control.go
+++ b/internal/bench/control.go
@@ -20,62 +20,64 @@
 	"github.com/walldrift/walldrift/internal/version"
 )
 
-// ControlConfig describes a measurement of the control traffic of a running
-// fleet of processes.
+// ControlConfig configures a measurement of the control traffic of a fleet of running
+// processes.
 type ControlConfig struct {
-	Dir      string        // of the plan
-	Edits    int           // 0 measures the fleet at rest
+	Dir      string        // directory of the plan
+	Edits    int           // number of table edits; 0 measures the idle fleet
 	Interval time.Duration // between edits
-	Rest     time.Duration // length of a measurement at rest
-	Settle   time.Duration // wait for an edit to reach every node
+	Rest     time.Duration // duration of a measurement of the idle fleet
+	Settle   time.Duration // how long to wait until an edit is in force on every node
 }
 
-// ControlResult is the outcome. Rates are means over the nodes and the
-// measured time.
+// ControlResult is the result of MeasureControl. Rates are means over the nodes and the
+// measured time; WireMax, CPUMax, RSSMax and LinksMax are those of the highest node. The
+// fields in milliseconds are times from the publication of an edit until it is in force.
 type ControlResult struct {
-	Nodes    int     `json:"nodes"`
-	Edits    int     `json:"edits"`
-	Seconds  float64 `json:"seconds"`
-	Missed   int     `json:"missed"` // node and edit pairs not in force in time
-	P50Ms    float64 `json:"p50_ms"` // of node and edit pairs
-	P99Ms    float64 `json:"p99_ms"`
-	MaxMs    float64 `json:"max_ms"`
-	EditP50  float64 `json:"all_nodes_p50_ms"` // of edits, until the last node
-	EditP99  float64 `json:"all_nodes_p99_ms"`
-	WireBps  float64 `json:"wire_bytes_s"` // UDP payload sent, per node
-	WireMax  float64 `json:"wire_bytes_s_max"`
-	CPUPct   float64 `json:"cpu_pct"` // of one core, per node
-	CPUMax   float64 `json:"cpu_pct_max"`
-	RSSMB    float64 `json:"rss_mb"`
-	RSSMax   float64 `json:"rss_mb_max"`
-	Links    float64 `json:"links"`
-	LinksMax int     `json:"links_max"`
-	Reads    float64 `json:"platform_reads_s"`
-	ReadPeak int64   `json:"platform_peak_reads"`
+	Nodes                  int     `json:"nodes"`
+	Edits                  int     `json:"edits"`
+	Seconds                float64 `json:"seconds"`
+	Missed                 int     `json:"missed"` // pairs of node and edit that weren't in force within Settle
+	P50Ms                  float64 `json:"p50_ms"` // over pairs of node and edit
+	P99Ms                  float64 `json:"p99_ms"`
+	MaxMs                  float64 `json:"max_ms"`
+	AllNodesP50Ms          float64 `json:"all_nodes_p50_ms"` // over edits, until in force on the last node
+	AllNodesP99Ms          float64 `json:"all_nodes_p99_ms"`
+	WireBytesPerSecond     float64 `json:"wire_bytes_s"` // UDP payload bytes sent, per node
+	WireMax                float64 `json:"wire_bytes_s_max"`
+	CPUPct                 float64 `json:"cpu_pct"` // percent of one core, per node
+	CPUMax                 float64 `json:"cpu_pct_max"`
+	RSSMB                  float64 `json:"rss_mb"`
+	RSSMax                 float64 `json:"rss_mb_max"`
+	Links                  float64 `json:"links"`
+	LinksMax               int     `json:"links_max"`
+	PlatformReadsPerSecond float64 `json:"platform_reads_s"`
+	PlatformPeakReads      int64   `json:"platform_peak_reads"`
 }
 
-// control is one measurement in progress.
-type control struct {
-	cfg    ControlConfig
-	plan   *Plan
-	client *http.Client
-	pairs  *hdrhistogram.Histogram
-	edits  *hdrhistogram.Histogram
-	result ControlResult
+// controlMeasurement is a running measurement.
+type controlMeasurement struct {
+	cfg         ControlConfig
+	plan        *Plan
+	client      *http.Client
+	nodeLatency *hdrhistogram.Histogram
+	editLatency *hdrhistogram.Histogram
+	result      ControlResult
 }
 
-// MeasureControl runs the measurement.
+// MeasureControl publishes cfg.Edits edits to a running fleet, or waits for cfg.Rest if
+// there are none, and measures the propagation and the use of resources.
 func MeasureControl(ctx context.Context, cfg ControlConfig) (*ControlResult, error) {
 	plan, err := ReadPlan(cfg.Dir)
 	if err != nil {
 		return nil, err
 	}
-	c := &control{
-		cfg: cfg, plan: plan, pairs: newHistogram(), edits: newHistogram(),
+	c := &controlMeasurement{
+		cfg: cfg, plan: plan, nodeLatency: newHistogram(), editLatency: newHistogram(),
 		client: &http.Client{Timeout: 10 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 4}},
 		result: ControlResult{Nodes: len(plan.Nodes), Edits: cfg.Edits},
 	}
-	before, err := c.sample(ctx)
+	before, err := c.takeSample(ctx)
 	if err != nil {
 		return nil, err
 	}
@@ -87,11 +89,11 @@
 		}
 	}
 	for i := range cfg.Edits {
-		if err := c.edit(ctx, i); err != nil {
+		if err := c.publishEdit(ctx, i); err != nil {
 			return nil, err
 		}
 	}
-	after, err := c.sample(ctx)
+	after, err := c.takeSample(ctx)
 	if err != nil {
 		return nil, err
 	}
@@ -99,22 +101,22 @@
 	return &c.result, nil
 }
 
-// sample is the counters of all processes at one time.
-type sample struct {
-	at     time.Time
-	nodes  []nodeSample
-	counts standin.Counts
+// fleetSample holds the counters of all processes at one time.
+type fleetSample struct {
+	takenAt        time.Time
+	nodes          []nodeSample
+	platformCounts standin.Counts
 }
 
 type nodeSample struct {
-	wire  uint64
-	links int
-	usage Usage
+	wireBytes uint64
+	links     int
+	usage     Usage
 }
 
-func (c *control) sample(ctx context.Context) (*sample, error) {
-	s := &sample{at: time.Now(), nodes: make([]nodeSample, len(c.plan.Nodes))}
-	if err := c.getJSON(ctx, "http://"+c.plan.Platform+"/standin/counts", &s.counts); err != nil {
+func (c *controlMeasurement) takeSample(ctx context.Context) (*fleetSample, error) {
+	s := &fleetSample{takenAt: time.Now(), nodes: make([]nodeSample, len(c.plan.Nodes))}
+	if err := c.getJSON(ctx, "http://"+c.plan.Platform+"/standin/counts", &s.platformCounts); err != nil {
 		return nil, err
 	}
 	for i, n := range c.plan.Nodes {
@@ -130,24 +132,24 @@
 		if err != nil {
 			return nil, err
 		}
-		s.nodes[i] = nodeSample{wire: st.Wire.Sent, links: st.Node.Links, usage: usage}
+		s.nodes[i] = nodeSample{wireBytes: st.Wire.Sent, links: st.Node.Links, usage: usage}
 	}
 	return s, nil
 }
 
-// selfStatus is what the measurement reads of node.SelfStatus.
+// selfStatus holds the fields of node.SelfStatus that the measurement needs.
 type selfStatus struct {
 	Node struct {
 		Table string `json:"table"`
 		Links int    `json:"links"`
 	} `json:"node"`
-	SinceMicros int64 `json:"in_force_since_us"`
-	Wire        struct {
+	InForceSinceMicros int64 `json:"in_force_since_us"`
+	Wire               struct {
 		Sent uint64 `json:"sent"`
 	} `json:"control_wire_bytes"`
 }
 
-func (c *control) getJSON(ctx context.Context, url string, into any) error {
+func (c *controlMeasurement) getJSON(ctx context.Context, url string, into any) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return err
@@ -160,9 +162,10 @@
 	return json.NewDecoder(resp.Body).Decode(into)
 }
 
-// edit publishes one change and takes the time until each node has it in force.
-func (c *control) edit(ctx context.Context, i int) error {
-	raw, err := c.platform(ctx, http.MethodGet, "?raw", nil)
+// publishEdit publishes an edit of the table, records how long each node takes to put it
+// in force, and waits for the rest of the edit interval.
+func (c *controlMeasurement) publishEdit(ctx context.Context, i int) error {
+	raw, err := c.requestTable(ctx, http.MethodGet, "?raw", nil)
 	if err != nil {
 		return err
 	}
@@ -173,11 +176,11 @@
 	}
 	want := version.Of(table.EditionOf(next), next).String()
 	published := time.Now()
-	if _, err := c.platform(ctx, http.MethodPut, "", next); err != nil {
+	if _, err := c.requestTable(ctx, http.MethodPut, "", next); err != nil {
 		return err
 	}
-	last := c.awaitAll(ctx, want, published)
-	_ = c.edits.RecordValue(max(last.Microseconds(), 1))
+	last := c.awaitAllNodes(ctx, want, published)
+	_ = c.editLatency.RecordValue(max(last.Microseconds(), 1))
 	select {
 	case <-time.After(time.Until(published.Add(c.cfg.Interval))):
 	case <-ctx.Done():
@@ -185,8 +188,9 @@
 	return ctx.Err()
 }
 
-// awaitAll records how long each node took and returns the longest.
-func (c *control) awaitAll(ctx context.Context, want string, published time.Time) time.Duration {
+// awaitAllNodes records how long each node takes to put the version want in force and
+// returns the longest time. Nodes that miss the settle time are counted, not recorded.
+func (c *controlMeasurement) awaitAllNodes(ctx context.Context, want string, published time.Time) time.Duration {
 	var mu sync.Mutex
 	var group sync.WaitGroup
 	last := time.Duration(0)
@@ -202,7 +206,7 @@
 				c.result.Missed++
 				return
 			}
-			_ = c.pairs.RecordValue(max(took.Microseconds(), 1))
+			_ = c.nodeLatency.RecordValue(max(took.Microseconds(), 1))
 			last = max(last, took)
 		})
 	}
@@ -210,23 +214,23 @@
 	return last
 }
 
-// pollInterval is the wait before a node is asked again. The time in force is
-// the node's own, so it does not limit the resolution.
+// pollInterval is the delay between status requests to a node. It doesn't limit the
+// resolution, as the node itself reports when the table came into force.
 const pollInterval = 20 * time.Millisecond
 
-func (c *control) awaitNode(ctx context.Context, n PlanNode, want string, published time.Time) (time.Duration, bool) {
+func (c *controlMeasurement) awaitNode(ctx context.Context, n PlanNode, want string, published time.Time) (time.Duration, bool) {
 	for time.Since(published) < c.cfg.Settle && ctx.Err() == nil {
 		var st selfStatus
 		err := c.getJSON(ctx, "http://"+n.Admin+admin.PathSelf, &st)
 		if err == nil && st.Node.Table == want {
-			return time.UnixMicro(st.SinceMicros).Sub(published), true
+			return time.UnixMicro(st.InForceSinceMicros).Sub(published), true
 		}
 		time.Sleep(pollInterval)
 	}
 	return 0, false
 }
 
-func (c *control) platform(ctx context.Context, method, query string, body []byte) ([]byte, error) {
+func (c *controlMeasurement) requestTable(ctx context.Context, method, query string, body []byte) ([]byte, error) {
 	url := "http://" + c.plan.Platform + platform.PathPrefix + platform.KeyTable + query
 	req, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
 	if err != nil {
@@ -238,33 +242,33 @@
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode != http.StatusOK {
-		return nil, errors.Newf("platform answers %s", resp.Status)
+		return nil, errors.Newf("platform responded with status %s", resp.Status)
 	}
 	return io.ReadAll(resp.Body)
 }
 
-const megabyte = 1 << 20
+const bytesPerMB = 1 << 20
 
-func (c *control) summarise(before, after *sample) {
+func (c *controlMeasurement) summarise(before, after *fleetSample) {
 	r := &c.result
-	r.Seconds = after.at.Sub(before.at).Seconds()
+	r.Seconds = after.takenAt.Sub(before.takenAt).Seconds()
 	n := float64(len(after.nodes))
 	for i, a := range after.nodes {
 		b := before.nodes[i]
-		wire := float64(a.wire-b.wire) / r.Seconds
+		wire := float64(a.wireBytes-b.wireBytes) / r.Seconds
 		cpu := 100 * (a.usage.CPU - b.usage.CPU).Seconds() / r.Seconds
-		rss := float64(a.usage.RSS) / megabyte
-		r.WireBps += wire / n
+		rss := float64(a.usage.RSS) / bytesPerMB
+		r.WireBytesPerSecond += wire / n
 		r.CPUPct += cpu / n
 		r.RSSMB += rss / n
 		r.Links += float64(a.links) / n
 		r.WireMax, r.CPUMax, r.RSSMax = max(r.WireMax, wire), max(r.CPUMax, cpu), max(r.RSSMax, rss)
 		r.LinksMax = max(r.LinksMax, a.links)
 	}
-	r.Reads = float64(after.counts.Calls-before.counts.Calls) / r.Seconds
-	r.ReadPeak = after.counts.PeakSecond
+	r.PlatformReadsPerSecond = float64(after.platformCounts.Calls-before.platformCounts.Calls) / r.Seconds
+	r.PlatformPeakReads = after.platformCounts.PeakSecond
 	if c.cfg.Edits > 0 {
-		r.P50Ms, r.P99Ms, r.MaxMs = millis(c.pairs.ValueAtQuantile(50)), millis(c.pairs.ValueAtQuantile(99)), millis(c.pairs.Max())
-		r.EditP50, r.EditP99 = millis(c.edits.ValueAtQuantile(50)), millis(c.edits.ValueAtQuantile(99))
+		r.P50Ms, r.P99Ms, r.MaxMs = millis(c.nodeLatency.ValueAtQuantile(50)), millis(c.nodeLatency.ValueAtQuantile(99)), millis(c.nodeLatency.Max())
+		r.AllNodesP50Ms, r.AllNodesP99Ms = millis(c.editLatency.ValueAtQuantile(50)), millis(c.editLatency.ValueAtQuantile(99))
 	}
 }
--- a/internal/bench/goodput.go
+++ b/internal/bench/goodput.go
@@ -15,29 +15,29 @@
 	"github.com/walldrift/walldrift/internal/standin"
 )
 
-// Scenario names what happens during a goodput run.
+// Scenario names the faults that are injected during a goodput run.
 type Scenario string
 
-// The scenarios.
+// Scenarios of MeasureGoodput.
 const (
 	ScenarioPlain   Scenario = "plain"
-	ScenarioSlow    Scenario = "one-slow"     // one upstream of the first service takes five times as long
-	ScenarioLying   Scenario = "one-lying"    // one upstream reports no load; nothing here believes it
-	ScenarioKilled  Scenario = "third-killed" // a third of the upstreams and their nodes end without warning
-	ScenarioRolling Scenario = "rolling"      // the nodes restart gracefully, one after another
+	ScenarioSlow    Scenario = "one-slow"     // one upstream of the first service takes five times as long per request
+	ScenarioLying   Scenario = "one-lying"    // stands for an upstream that reports no load; no policy reads load reports, so nothing is injected
+	ScenarioKilled  Scenario = "third-killed" // a third of the upstreams and their nodes are killed
+	ScenarioRolling Scenario = "rolling"      // four nodes restart gracefully, one after another
 )
 
-// GoodputConfig describes one run.
+// GoodputConfig configures one goodput run.
 type GoodputConfig struct {
 	Policy   Policy
 	Scenario Scenario
-	Load     float64 // offered rate over capacity
+	Load     float64 // offered request rate as a fraction of capacity
 	For      time.Duration
-	Stretch  float64 // factor on the work of each request, to fit one machine
+	Stretch  float64 // factor on the time of each request, so that one machine can run the load
 	Seed     uint64
 }
 
-// KindResult is the outcome for one kind.
+// KindResult is the result for one request kind.
 type KindResult struct {
 	Kind      string  `json:"kind"`
 	Sent      int64   `json:"sent"`
@@ -49,36 +49,37 @@
 	P99Ms     float64 `json:"p99_ms"`
 }
 
-// GoodputResult is the outcome of one run.
+// GoodputResult is the result of one run.
 type GoodputResult struct {
-	Policy   Policy       `json:"policy"`
-	Scenario Scenario     `json:"scenario"`
-	Load     float64      `json:"load"`
-	Rate     float64      `json:"rate"`
-	Weighted float64      `json:"weighted_goodput_pct"` // worth of good answers over worth offered
-	Kinds    []KindResult `json:"kinds"`
-	// Duplicates are request IDs of non-idempotent kinds that ran more than
-	// once; Untrue are those refused as not run that ran; Wrong are answers cut
-	// or not the request's own.
-	Duplicates   int     `json:"duplicates"`
-	Untrue       int     `json:"untrue_refusals"`
-	Wrong        int64   `json:"wrong"`
-	RunsPerSent  float64 `json:"runs_per_request"`
-	RefusalP50Ms float64 `json:"refusal_p50_ms"`
-	RefusalP99Ms float64 `json:"refusal_p99_ms"`
-	Skipped      int64   `json:"skipped"`
+	Policy             Policy       `json:"policy"`
+	Scenario           Scenario     `json:"scenario"`
+	Load               float64      `json:"load"`
+	Rate               float64      `json:"rate"`
+	WeightedGoodputPct float64      `json:"weighted_goodput_pct"` // value of good responses over value of all requests, in percent
+	Kinds              []KindResult `json:"kinds"`
+	// Duplicates counts request IDs of non-idempotent kinds that ran more than once;
+	// UntrueRefusals those that ran although they were refused as not run; Wrong responses that
+	// can't be decoded or belong to another request.
+	Duplicates     int     `json:"duplicates"`
+	UntrueRefusals int     `json:"untrue_refusals"`
+	Wrong          int64   `json:"wrong"`
+	RunsPerRequest float64 `json:"runs_per_request"`
+	RefusalP50Ms   float64 `json:"refusal_p50_ms"`
+	RefusalP99Ms   float64 `json:"refusal_p99_ms"`
+	Skipped        int64   `json:"skipped"`
 }
 
-// routeTimeout is the time limit of every route of the layouts.
+// routeTimeout is the timeout of every route of the layouts.
 const routeTimeout = 2 * time.Second
 
-// warmUp is how long a run goes before its faults begin.
-const warmUp = 2 * time.Second
+// warmUpTime is how long the load runs before faults are injected.
+const warmUpTime = 2 * time.Second
 
-// slowPercent is the speed of the slow upstream.
-const slowPercent = 500
+// slowWorkPercent is the time per request of the slow upstream, in percent of normal.
+const slowWorkPercent = 500
 
-// MeasureGoodput runs one policy under one scenario, all in this process.
+// MeasureGoodput measures one policy under one scenario. Nodes, upstreams and load
+// generator run in this process.
 func MeasureGoodput(ctx context.Context, cfg GoodputConfig) (*GoodputResult, error) {
 	layout := standin.Kerbline()
 	capacity := 0.0
@@ -94,7 +95,7 @@
 	defer f.Close()
 	run := &goodputRun{cfg: cfg, layout: layout, fleet: f}
 	defer run.close()
-	if err := run.targets(); err != nil {
+	if err := run.findCallerURLs(); err != nil {
 		return nil, err
 	}
 	return run.measure(ctx, cfg.Load*capacity)
@@ -102,24 +103,25 @@
 
 func goodputSettings(n *settings.Node) {
 	n.LedgerSkew = time.Millisecond
-	// The runs are shorter than the settle time, in which a home asks all its
-	// siblings, dead ones too, before it runs a key.
+	// A run is shorter than the default settle time, during which the owner of an
+	// idempotency key asks all other nodes of the service, dead ones too, before it
+	// runs a request.
 	n.LedgerSettle = 500 * time.Millisecond
 	n.DrainAnnounce = 500 * time.Millisecond
 }
 
 type goodputRun struct {
-	cfg    GoodputConfig
-	layout standin.Layout
-	fleet  *fleet.Fleet
-	plain  baselineFleet
-	urls   []string
+	cfg        GoodputConfig
+	layout     standin.Layout
+	fleet      *fleet.Fleet
+	baselines  baselineFleet
+	callerURLs []string
 }
 
-func (g *goodputRun) close() { g.plain.close() }
+func (g *goodputRun) close() { g.baselines.close() }
 
-// victims are the placements that ScenarioKilled ends, a third of them.
-func (g *goodputRun) victims() map[string]bool {
+// killedNames returns the placements that ScenarioKilled kills: every third one.
+func (g *goodputRun) killedNames() map[string]bool {
 	out := make(map[string]bool)
 	for i, p := range g.layout.Placements() {
 		if i%3 == 1 {
@@ -129,53 +131,53 @@
 	return out
 }
 
-// targets finds the addresses that callers use. Callers know which proxies
-// end, as those stand beside them; they use the others from the start.
-func (g *goodputRun) targets() error {
+// findCallerURLs sets the addresses that the load uses. It leaves out proxies that will
+// be killed: a caller runs beside its proxy and would end with it.
+func (g *goodputRun) findCallerURLs() error {
 	lost := map[string]bool{}
 	if g.cfg.Scenario == ScenarioKilled {
-		lost = g.victims()
+		lost = g.killedNames()
 	}
 	for _, p := range g.layout.Placements() {
 		if lost[p.Name] {
 			continue
 		}
 		if g.cfg.Policy == PolicyMesh {
-			g.urls = append(g.urls, fleet.CallerURL(g.fleet.Node(p.Name)))
+			g.callerURLs = append(g.callerURLs, fleet.CallerURL(g.fleet.Node(p.Name)))
 			continue
 		}
-		b := newBaseline(g.cfg.Policy)
+		b := newBaselineProxy(g.cfg.Policy)
 		for _, q := range g.layout.Placements() {
 			u, err := url.Parse(g.fleet.UpstreamURL(q.Name))
 			if err != nil {
 				return err
 			}
-			b.add(q.Group.Prefix, u, routeTimeout)
+			b.addUpstream(q.Group.Prefix, u, routeTimeout)
 		}
-		g.plain.proxies = append(g.plain.proxies, httptest.NewServer(b))
+		g.baselines.proxies = append(g.baselines.proxies, httptest.NewServer(b))
 	}
 	if g.cfg.Policy != PolicyMesh {
-		g.urls = g.plain.urls()
+		g.callerURLs = g.baselines.urls()
 	}
 	return nil
 }
 
 func (g *goodputRun) measure(ctx context.Context, rate float64) (*GoodputResult, error) {
 	load := NewLoad(LoadConfig{
-		Targets: g.urls, Streams: capacityStreams(g.layout), Rate: rate, For: g.cfg.For,
+		Targets: g.callerURLs, Streams: capacityStreams(g.layout), Rate: rate, For: g.cfg.For,
 		Timeout: routeTimeout + 500*time.Millisecond, Seed: g.cfg.Seed, MaxInFlight: 20000, KeepIDs: true,
 	})
-	faults := make(chan error, 1)
-	go func() { faults <- g.faults(ctx) }()
+	faultsDone := make(chan error, 1)
+	go func() { faultsDone <- g.injectFaults(ctx) }()
 	load.Run(ctx)
-	if err := <-faults; err != nil {
+	if err := <-faultsDone; err != nil {
 		return nil, err
 	}
-	return g.result(load, rate), ctx.Err()
+	return g.summarise(load, rate), ctx.Err()
 }
 
-// capacityStreams shares the load over kinds as the capacity is shared, so
-// that all services reach their limit together.
+// capacityStreams divides the load over kinds in proportion to the capacity of their
+// services, so that all services are saturated at the same rate.
 func capacityStreams(l standin.Layout) []Stream {
 	streams := StreamsOf(l)
 	total := 0.0
@@ -189,32 +191,32 @@
 	return streams
 }
 
-// faults makes the scenario's faults happen while the load runs.
-func (g *goodputRun) faults(ctx context.Context) error {
+// injectFaults injects the scenario's faults while the load runs.
+func (g *goodputRun) injectFaults(ctx context.Context) error {
 	if g.cfg.Scenario == ScenarioPlain || g.cfg.Scenario == ScenarioLying {
 		return nil
 	}
 	select {
-	case <-time.After(warmUp):
+	case <-time.After(warmUpTime):
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 	switch g.cfg.Scenario {
 	case ScenarioSlow:
-		g.fleet.Upstreams[g.layout.Placements()[0].Name].SetSlowdown(slowPercent)
+		g.fleet.Upstreams[g.layout.Placements()[0].Name].SetWorkPercent(slowWorkPercent)
 	case ScenarioKilled:
-		for name := range g.victims() {
+		for name := range g.killedNames() {
 			g.fleet.Kill(name)
 		}
 	case ScenarioRolling:
-		return g.roll(ctx)
+		return g.restartNodes(ctx)
 	}
 	return nil
 }
 
-// roll restarts the nodes one after another. Callers beside a node that
-// restarts lose their proxy for that time.
-func (g *goodputRun) roll(ctx context.Context) error {
+// restartNodes restarts the first four nodes one after another. Callers beside a node
+// have no proxy while it restarts. The baseline policies have no nodes to restart.
+func (g *goodputRun) restartNodes(ctx context.Context) error {
 	if g.cfg.Policy != PolicyMesh {
 		return nil
 	}
@@ -229,7 +231,7 @@
 	return nil
 }
 
-func (g *goodputRun) result(load *Load, rate float64) *GoodputResult {
+func (g *goodputRun) summarise(load *Load, rate float64) *GoodputResult {
 	r := &GoodputResult{Policy: g.cfg.Policy, Scenario: g.cfg.Scenario, Load: g.cfg.Load, Rate: rate, Skipped: load.Skipped.Load()}
 	runs := make(map[string]int)
 	total := 0
@@ -247,9 +249,9 @@
 		sent += t.Sent
 		refusal.Merge(t.Refusal)
 		r.Wrong += t.Wrong
-		r.Untrue += ranOf(runs, t.NotRunIDs, 0)
+		r.UntrueRefusals += countRunsAbove(runs, t.NotRunIDs, 0)
 		if !g.layout.Groups[i].Idempotent {
-			r.Duplicates += ranOf(runs, t.IDs, 1)
+			r.Duplicates += countRunsAbove(runs, t.IDs, 1)
 		}
 		r.Kinds = append(r.Kinds, KindResult{
 			Kind: t.Kind, Sent: t.Sent, Unknown: t.Unknown, Failed: t.Failed,
@@ -259,13 +261,13 @@
 			P99Ms:     millis(t.Latency.ValueAtQuantile(99)),
 		})
 	}
-	r.Weighted = 100 * earned / max(offered, 1)
-	r.RunsPerSent = float64(total) / float64(max(sent, 1))
+	r.WeightedGoodputPct = 100 * earned / max(offered, 1)
+	r.RunsPerRequest = float64(total) / float64(max(sent, 1))
 	r.RefusalP50Ms, r.RefusalP99Ms = millis(refusal.ValueAtQuantile(50)), millis(refusal.ValueAtQuantile(99))
 	return r
 }
 
-// RowHeader heads the rows of GoodputResult.Row.
+// RowHeader is the header of the Markdown table whose rows GoodputResult.Row returns.
 const RowHeader = "| policy | scenario | load | weighted goodput | good of each kind | p99 of each kind, ms | refusal p50 / p99, ms | runs per request | duplicates | untrue refusals | wrong answers |\n|---|---|---|---|---|---|---|---|---|---|---|"
 
 // Row formats the result as one row of a Markdown table.
@@ -275,12 +277,12 @@
 		good = append(good, fmt.Sprintf("%s %.1f%%", k.Kind, k.GoodPct))
 		p99 = append(p99, fmt.Sprintf("%.0f", k.P99Ms))
 	}
-	return fmt.Sprintf("| %s | %s | %.1f | %.1f%% | %s | %s | %.1f / %.1f | %.2f | %d | %d | %d |", r.Policy, r.Scenario, r.Load, r.Weighted,
-		strings.Join(good, ", "), strings.Join(p99, " / "), r.RefusalP50Ms, r.RefusalP99Ms, r.RunsPerSent, r.Duplicates, r.Untrue, r.Wrong)
+	return fmt.Sprintf("| %s | %s | %.1f | %.1f%% | %s | %s | %.1f / %.1f | %.2f | %d | %d | %d |", r.Policy, r.Scenario, r.Load, r.WeightedGoodputPct,
+		strings.Join(good, ", "), strings.Join(p99, " / "), r.RefusalP50Ms, r.RefusalP99Ms, r.RunsPerRequest, r.Duplicates, r.UntrueRefusals, r.Wrong)
 }
 
-// ranOf counts the IDs that ran more than limit times.
-func ranOf(runs map[string]int, ids []string, limit int) int {
+// countRunsAbove counts the IDs that ran more than limit times.
+func countRunsAbove(runs map[string]int, ids []string, limit int) int {
 	n := 0
 	for _, id := range ids {
 		if runs[id] > limit {
--- a/internal/bench/latency.go
+++ b/internal/bench/latency.go
@@ -8,19 +8,20 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// LatencyConfig describes the paired comparison of calls through the fleet
-// with calls straight to the upstreams of one service.
+// LatencyConfig configures a paired comparison of calls through the fleet with direct
+// calls to the upstreams of one service.
 type LatencyConfig struct {
 	Dir     string
 	Service string
 	Path    string
-	// Part of the service's slots kept busy, 0 to 1.
+	// Part is the fraction of the service's slots that the load occupies, 0 to 1.
 	Part   float64
-	Rounds int           // pairs of slices
-	Slice  time.Duration // length of one slice
+	Rounds int           // pairs of one direct and one mesh slice
+	Slice  time.Duration // duration of one slice
 }
 
-// LatencyResult holds the figures of both ways, in milliseconds.
+// LatencyResult holds the latencies of direct and mesh calls in milliseconds, and their
+// differences.
 type LatencyResult struct {
 	Rate      float64 `json:"rate"`
 	Calls     int64   `json:"calls"`
@@ -31,12 +32,12 @@
 	MeshP99   float64 `json:"mesh_p99_ms"`
 	AddedP50  float64 `json:"added_p50_ms"`
 	AddedP99  float64 `json:"added_p99_ms"`
-	// CPUPerCall is the processor time of all nodes per call through the mesh.
+	// CPUPerCall is the CPU time of all nodes per call through the mesh, in microseconds.
 	CPUPerCall float64 `json:"node_cpu_us_per_call"`
 }
 
-// MeasureLatency runs slices of load in turn, direct and through the mesh, so
-// that drifts of the machine meet both.
+// MeasureLatency alternates slices of direct load and load through the mesh, so that
+// changes in the machine's speed affect both equally.
 func MeasureLatency(ctx context.Context, cfg LatencyConfig) (*LatencyResult, error) {
 	plan, err := ReadPlan(cfg.Dir)
 	if err != nil {
@@ -52,35 +53,35 @@
 		}
 	}
 	r := &LatencyResult{Rate: cfg.Part * capacity}
-	hd, hm := newHistogram(), newHistogram()
-	// Connections opened on first use are not part of the comparison.
-	warm := &LatencyResult{}
-	cfg.slice(ctx, direct, r.Rate, 0, newHistogram(), warm)
-	cfg.slice(ctx, mesh, r.Rate, 0, newHistogram(), warm)
-	var used time.Duration
+	directLatency, meshLatency := newHistogram(), newHistogram()
+	// Opens the connections first; their setup is not part of the comparison.
+	warmUpResult := &LatencyResult{}
+	cfg.measureSlice(ctx, direct, r.Rate, 0, newHistogram(), warmUpResult)
+	cfg.measureSlice(ctx, mesh, r.Rate, 0, newHistogram(), warmUpResult)
+	var nodeCPU time.Duration
 	for i := range cfg.Rounds {
-		cfg.slice(ctx, direct, r.Rate, uint64(i), hd, r)
-		before, err := nodesCPU(cfg.Dir, plan)
+		cfg.measureSlice(ctx, direct, r.Rate, uint64(i), directLatency, r)
+		before, err := totalNodeCPU(cfg.Dir, plan)
 		if err != nil {
 			return nil, err
 		}
 		sent := r.Calls
-		cfg.slice(ctx, mesh, r.Rate, uint64(i), hm, r)
-		after, err := nodesCPU(cfg.Dir, plan)
+		cfg.measureSlice(ctx, mesh, r.Rate, uint64(i), meshLatency, r)
+		after, err := totalNodeCPU(cfg.Dir, plan)
 		if err != nil {
 			return nil, err
 		}
-		used += after - before
+		nodeCPU += after - before
 		r.CPUPerCall += float64(r.Calls - sent)
 	}
-	r.CPUPerCall = float64(used.Microseconds()) / max(r.CPUPerCall, 1)
-	r.DirectP50, r.DirectP99 = millis(hd.ValueAtQuantile(50)), millis(hd.ValueAtQuantile(99))
-	r.MeshP50, r.MeshP99 = millis(hm.ValueAtQuantile(50)), millis(hm.ValueAtQuantile(99))
+	r.CPUPerCall = float64(nodeCPU.Microseconds()) / max(r.CPUPerCall, 1)
+	r.DirectP50, r.DirectP99 = millis(directLatency.ValueAtQuantile(50)), millis(directLatency.ValueAtQuantile(99))
+	r.MeshP50, r.MeshP99 = millis(meshLatency.ValueAtQuantile(50)), millis(meshLatency.ValueAtQuantile(99))
 	r.AddedP50, r.AddedP99 = r.MeshP50-r.DirectP50, r.MeshP99-r.DirectP99
 	return r, ctx.Err()
 }
 
-func (cfg LatencyConfig) slice(ctx context.Context, targets []string, rate float64, seed uint64, into *hdrhistogram.Histogram, r *LatencyResult) {
+func (cfg LatencyConfig) measureSlice(ctx context.Context, targets []string, rate float64, seed uint64, into *hdrhistogram.Histogram, r *LatencyResult) {
 	l := NewLoad(LoadConfig{
 		Targets: targets, Rate: rate, For: cfg.Slice, Timeout: 2 * time.Second, Seed: seed,
 		Streams: []Stream{{Kind: cfg.Service, Method: http.MethodGet, Path: cfg.Path, Share: 1}},
@@ -92,8 +93,8 @@
 	r.NotGood += t.Sent - t.Good
 }
 
-// nodesCPU sums the processor time of all nodes.
-func nodesCPU(dir string, plan *Plan) (time.Duration, error) {
+// totalNodeCPU returns the sum of the CPU time of all nodes.
+func totalNodeCPU(dir string, plan *Plan) (time.Duration, error) {
 	total := time.Duration(0)
 	for _, n := range plan.Nodes {
 		pid, err := ReadPID(dir, n.Name)
--- a/internal/bench/leaving.go
+++ b/internal/bench/leaving.go
@@ -8,25 +8,25 @@
 	"github.com/walldrift/walldrift/internal/standin"
 )
 
-// LeavingResult tells how long a leaving upstream still got new work.
+// LeavingResult reports for how long a leaving upstream still got new requests.
 type LeavingResult struct {
-	// ByNode is after its node was told to stop, ByHealth after its health
-	// end point began to say that it drains; in milliseconds.
-	ByNode   float64 `json:"last_request_after_stop_ms"`
-	ByHealth float64 `json:"last_request_after_drain_ms"`
-	Sent     int64   `json:"sent"`
-	Good     int64   `json:"good"`
-	NotGood  int64   `json:"not_good"`
+	// LastAfterStopMs is the time of the last new request after its node's shutdown began,
+	// LastAfterDrainMs after its health endpoint began to report draining; in milliseconds.
+	LastAfterStopMs  float64 `json:"last_request_after_stop_ms"`
+	LastAfterDrainMs float64 `json:"last_request_after_drain_ms"`
+	Sent             int64   `json:"sent"`
+	Good             int64   `json:"good"`
+	NotGood          int64   `json:"not_good"`
 }
 
-// Rate and length of the load during a leave.
+// Rate (requests per second) and duration of the load while upstreams leave.
 const (
-	leavingRate = 300
-	leavingFor  = 8 * time.Second
+	leaveLoadRate     = 300
+	leaveLoadDuration = 8 * time.Second
 )
 
-// MeasureLeaving runs a load on an in-process fleet while one upstream leaves
-// by its health end point and another by its node's shutdown.
+// MeasureLeaving sends load to an in-process fleet while one upstream announces draining
+// by its health endpoint and another leaves because its node shuts down.
 func MeasureLeaving(ctx context.Context) (*LeavingResult, error) {
 	layout := standin.Kerbline()
 	f, err := fleet.StartReady(ctx, fleet.Config{Placements: layout.Placements(), Table: layout.Table()})
@@ -42,15 +42,15 @@
 	}
 	g := layout.Groups[0]
 	load := NewLoad(LoadConfig{
-		Targets: targets, Rate: leavingRate, For: leavingFor, Timeout: routeTimeout, Seed: 1,
+		Targets: targets, Rate: leaveLoadRate, For: leaveLoadDuration, Timeout: routeTimeout, Seed: 1,
 		Streams: []Stream{{Kind: g.Kind, Weight: 1, Method: "GET", Path: g.Prefix + "/x", Share: 1}},
 	})
 	done := make(chan struct{})
 	go func() { load.Run(ctx); close(done) }()
-	time.Sleep(warmUp)
+	time.Sleep(warmUpTime)
 	r := &LeavingResult{}
 	drained, stopped := g.Service+"-1", g.Service+"-2"
-	at := time.Now()
+	leaveStart := time.Now()
 	f.Upstreams[drained].SetDraining(true)
 	errs := make(chan error, 1)
 	go func() { errs <- f.StopNode(stopped) }()
@@ -58,8 +58,8 @@
 	if err := <-errs; err != nil {
 		return nil, err
 	}
-	r.ByHealth = float64(f.Upstreams[drained].LastStart().Sub(at).Milliseconds())
-	r.ByNode = float64(f.Upstreams[stopped].LastStart().Sub(at).Milliseconds())
+	r.LastAfterDrainMs = float64(f.Upstreams[drained].LastStart().Sub(leaveStart).Milliseconds())
+	r.LastAfterStopMs = float64(f.Upstreams[stopped].LastStart().Sub(leaveStart).Milliseconds())
 	t := load.Tallies()[0]
 	r.Sent, r.Good, r.NotGood = t.Sent, t.Good, t.Sent-t.Good
 	return r, ctx.Err()
--- a/internal/bench/load.go
+++ b/internal/bench/load.go
@@ -1,4 +1,4 @@
-// Package bench holds the load generator and the measurement commands.
+// Package bench contains the load generator and the measurement commands.
 package bench
 
 import (
@@ -20,69 +20,70 @@
 	"github.com/walldrift/walldrift/internal/standin"
 )
 
-// Stream is one kind of request of a load.
+// Stream describes the requests of one kind in a load.
 type Stream struct {
-	Kind   string
-	Weight float64 // value of one good answer
-	Method string
-	Path   string
-	Share  float64 // part of the load's rate
-	Keyed  bool    // sends a version 7 UUID as Idempotency-Key
-	Body   int     // bytes
-	Work   time.Duration
+	Kind     string
+	Weight   float64 // value of one good response
+	Method   string
+	Path     string
+	Share    float64       // fraction of the load's rate, 0 to 1
+	SendsKey bool          // sends a UUIDv7 as Idempotency-Key
+	Body     int           // request body in bytes
+	Work     time.Duration // time the upstream takes for a request; 0 leaves its default
 }
 
-// LoadConfig describes an open-loop load: requests start by the clock whether
-// or not earlier ones have ended.
+// LoadConfig configures an open-loop load: requests start on schedule, whether or not
+// earlier ones have ended.
 type LoadConfig struct {
-	Targets []string // base addresses, used in turn
+	Targets []string // base URLs, used in turn
 	Streams []Stream
-	Rate    float64 // requests a second
-	For     time.Duration
-	Timeout time.Duration
+	Rate    float64       // requests per second
+	For     time.Duration // duration; 0 runs until the context ends
+	Timeout time.Duration // of one request
 	Seed    uint64
-	// KeepIDs keeps the IDs of requests for a later count of runs.
+	// KeepIDs records the IDs of requests, so that their runs can be counted later.
 	KeepIDs bool
-	// MaxInFlight bounds the requests in progress; one more is counted as
-	// skipped. Default 4096.
+	// MaxInFlight bounds the requests in flight; a request beyond it isn't sent but
+	// counted as skipped. Default 4096.
 	MaxInFlight int
 }
 
-// Tally is what became of the requests of one kind.
+// Tally counts the requests of one kind by how they ended.
 type Tally struct {
 	Kind      string
 	Weight    float64
 	Sent      int64
-	Good      int64 // whole own answer in time
+	Good      int64 // complete response to this request, in time
 	NotRun    int64
 	Unknown   int64
-	Wrong     int64 // an answer that is not the request's own, or cut
+	Wrong     int64 // response that can't be decoded or belongs to another request
 	Failed    int64 // anything else
 	Latency   *hdrhistogram.Histogram
-	Refusal   *hdrhistogram.Histogram // time to a refusal
+	Refusal   *hdrhistogram.Histogram // time until a refusal
 	NotRunIDs []string                // of requests refused as not run
 	IDs       []string                // of all requests
 }
 
-// histogram bounds: one microsecond to two minutes, in microseconds.
+// newHistogram returns a latency histogram in microseconds, from one microsecond to two
+// minutes, with three significant digits.
 func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, 120_000_000, 3) }
 
-// Load runs one load.
+// Load generates one load.
 type Load struct {
-	cfg     LoadConfig
-	client  *http.Client
-	mu      sync.Mutex
-	tallies map[string]*Tally
-	flight  atomic.Int64
-	Skipped atomic.Int64
+	cfg      LoadConfig
+	client   *http.Client
+	mu       sync.Mutex
+	tallies  map[string]*Tally
+	inFlight atomic.Int64
+	Skipped  atomic.Int64
 }
 
-const defaultInFlight = 4096
+const defaultMaxInFlight = 4096
 
-// NewLoad returns a load that Run starts.
+// NewLoad returns a Load; Run starts it.
 func NewLoad(cfg LoadConfig) *Load {
 	if cfg.MaxInFlight == 0 {
-		cfg.MaxInFlight = defaultInFlight
+		cfg.MaxInFlight = defaultMaxInFlight
 	}
 	l := &Load{
 		cfg:     cfg,
@@ -98,50 +99,51 @@
 	return l
 }
 
-// Run sends the load and waits for the last answers.
+// Run sends the load and waits for the last responses. A load without a duration runs
+// until ctx ends.
 func (l *Load) Run(ctx context.Context) {
 	rnd := rand.New(rand.NewPCG(l.cfg.Seed, 7))
 	start := time.Now()
-	at := time.Duration(0)
+	arrival := time.Duration(0)
 	var group sync.WaitGroup
 	for i := 0; ctx.Err() == nil; i++ {
-		// Poisson arrivals.
-		at += time.Duration(rnd.ExpFloat64() / l.cfg.Rate * float64(time.Second))
-		if l.cfg.For > 0 && at > l.cfg.For {
+		// A Poisson process: exponential times between arrivals.
+		arrival += time.Duration(rnd.ExpFloat64() / l.cfg.Rate * float64(time.Second))
+		if l.cfg.For > 0 && arrival > l.cfg.For {
 			break
 		}
-		if d := time.Until(start.Add(at)); d > 0 {
+		if d := time.Until(start.Add(arrival)); d > 0 {
 			time.Sleep(d)
 		}
-		s := l.draw(rnd)
+		s := l.drawStream(rnd)
 		target := l.cfg.Targets[i%len(l.cfg.Targets)]
-		if l.flight.Load() >= int64(l.cfg.MaxInFlight) {
+		if l.inFlight.Load() >= int64(l.cfg.MaxInFlight) {
 			l.Skipped.Add(1)
 			continue
 		}
-		l.flight.Add(1)
+		l.inFlight.Add(1)
 		group.Go(func() {
-			defer l.flight.Add(-1)
-			l.one(ctx, target, s)
+			defer l.inFlight.Add(-1)
+			l.sendRequest(ctx, target, s)
 		})
 	}
 	group.Wait()
 	l.client.CloseIdleConnections()
 }
 
-func (l *Load) draw(rnd *rand.Rand) Stream {
-	at := rnd.Float64()
+func (l *Load) drawStream(rnd *rand.Rand) Stream {
+	point := rnd.Float64()
 	for _, s := range l.cfg.Streams {
-		if at < s.Share {
+		if point < s.Share {
 			return s
 		}
-		at -= s.Share
+		point -= s.Share
 	}
 	return l.cfg.Streams[len(l.cfg.Streams)-1]
 }
 
-// one sends one request and counts its end.
-func (l *Load) one(ctx context.Context, target string, s Stream) {
+// sendRequest sends one request of the stream and counts its result.
+func (l *Load) sendRequest(ctx context.Context, target string, s Stream) {
 	id := uuid.Must(uuid.NewV7()).String()
 	req, err := http.NewRequestWithContext(ctx, s.Method, target+s.Path, strings.NewReader(strings.Repeat("b", s.Body)))
 	if err != nil {
@@ -150,30 +152,31 @@
 	req.Header.Set(standin.HeaderRequestID, id)
 	req.Header.Set(proxy.HeaderTenant, "tenant-"+id[len(id)-1:])
 	req.Header.Set(proxy.HeaderTimeout, strconv.FormatInt(l.cfg.Timeout.Milliseconds(), 10))
-	if s.Keyed {
-		// Under a name that net/http does not look for, or it would repeat.
+	if s.SendsKey {
+		// net/http retries requests with the header Idempotency-Key; it doesn't
+		// recognise the lower-case spelling.
 		req.Header["idempotency-key"] = []string{id}
 	}
 	if s.Work > 0 {
 		req.Header.Set(standin.HeaderWork, strconv.FormatInt(s.Work.Milliseconds(), 10))
 	}
 	start := time.Now()
-	end := l.exchange(req, id)
+	end := l.roundTrip(req, id)
 	l.count(s.Kind, id, end, time.Since(start))
 }
 
-// ending is how a request of the load ended.
-type ending int
+// requestEnd is how a request of the load ended.
+type requestEnd int
 
 const (
-	endGood ending = iota
+	endGood requestEnd = iota
 	endNotRun
 	endUnknown
 	endWrong
 	endFailed
 )
 
-func (l *Load) exchange(req *http.Request, id string) ending {
+func (l *Load) roundTrip(req *http.Request, id string) requestEnd {
 	resp, err := l.client.Do(req)
 	if err != nil {
 		return endFailed
@@ -196,7 +199,7 @@
 	return endGood
 }
 
-func (l *Load) count(kind, id string, e ending, took time.Duration) {
+func (l *Load) count(kind, id string, e requestEnd, took time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	t := l.tallies[kind]
@@ -224,8 +227,7 @@
 	}
 }
 
-// Tallies returns the counts by kind, in the order of the streams. Call it
-// after Run.
+// Tallies returns the tallies in the order of the streams. Call it only after Run.
 func (l *Load) Tallies() []*Tally {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -236,7 +238,7 @@
 	return out
 }
 
-// Summary is a copy of a tally's figures while the load runs.
+// Summary is a snapshot of a tally, which can be taken while the load runs.
 type Summary struct {
 	Kind    string  `json:"kind"`
 	Sent    int64   `json:"sent"`
@@ -246,14 +248,14 @@
 	Other   int64   `json:"other"`
 	P50Ms   float64 `json:"p50_ms"`
 	P99Ms   float64 `json:"p99_ms"`
-	Buckets []int64 `json:"buckets"` // good answers by latency bucket
+	Buckets []int64 `json:"buckets"` // good responses by latency, bounded by SummaryBounds
 }
 
-// SummaryBounds are the upper bounds of Summary.Buckets in milliseconds; the
-// last bucket is open.
+// SummaryBounds are the upper bounds of Summary.Buckets in milliseconds. One more bucket
+// holds everything above.
 var SummaryBounds = []float64{5, 10, 15, 20, 25, 30, 40, 60, 100, 250, 1000}
 
-// Summaries returns the present figures.
+// Summaries returns a snapshot of each stream's tally, in the order of the streams.
 func (l *Load) Summaries() []Summary {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -264,7 +266,7 @@
 			Kind: t.Kind, Sent: t.Sent, Good: t.Good, NotRun: t.NotRun, Unknown: t.Unknown,
 			Other: t.Wrong + t.Failed,
 			P50Ms: millis(t.Latency.ValueAtQuantile(50)), P99Ms: millis(t.Latency.ValueAtQuantile(99)),
-			Buckets: buckets(t.Latency),
+			Buckets: bucketCounts(t.Latency),
 		})
 	}
 	return out
@@ -272,19 +274,20 @@
 
 func millis(us int64) float64 { return float64(us) / 1000 }
 
-func buckets(h *hdrhistogram.Histogram) []int64 {
+func bucketCounts(h *hdrhistogram.Histogram) []int64 {
 	out := make([]int64, len(SummaryBounds)+1)
 	for _, bar := range h.Distribution() {
-		at := 0
-		for at < len(SummaryBounds) && millis(bar.To) > SummaryBounds[at] {
-			at++
+		bucket := 0
+		for bucket < len(SummaryBounds) && millis(bar.To) > SummaryBounds[bucket] {
+			bucket++
 		}
-		out[at] += bar.Count
+		out[bucket] += bar.Count
 	}
 	return out
 }
 
-// StreamsOf returns the streams of a layout, shared by targets.
+// StreamsOf returns one stream for each service of a layout, with shares in proportion
+// to their targets.
 func StreamsOf(l standin.Layout) []Stream {
 	total := 0
 	for _, g := range l.Groups {
@@ -294,7 +297,7 @@
 	for _, g := range l.Groups {
 		s := Stream{Kind: g.Kind, Weight: g.KindWeight, Method: http.MethodGet, Path: g.Prefix + "/x", Share: float64(g.Targets) / float64(total)}
 		if !g.Idempotent {
-			s.Method, s.Keyed, s.Body = http.MethodPost, true, 512
+			s.Method, s.SendsKey, s.Body = http.MethodPost, true, 512
 		}
 		out = append(out, s)
 	}
--- a/internal/bench/plan.go
+++ b/internal/bench/plan.go
@@ -15,14 +15,14 @@
 	"github.com/walldrift/walldrift/internal/standin"
 )
 
-// Plan describes a fleet of separate processes, as the layout command writes
-// it and the other commands read it.
+// Plan describes a fleet of separate processes. The layout command writes it, the other
+// commands read it.
 type Plan struct {
 	Platform string     `json:"platform"` // ip:port
 	Nodes    []PlanNode `json:"nodes"`
 }
 
-// PlanNode is one node of a plan.
+// PlanNode is one node of a plan and its upstream.
 type PlanNode struct {
 	Name       string        `json:"name"`
 	Service    string        `json:"service"`
@@ -32,10 +32,10 @@
 	Upstream   string        `json:"upstream"` // ip:port
 	Slots      int           `json:"slots"`
 	Work       time.Duration `json:"work"`
-	Settings   string        `json:"settings"` // file
+	Settings   string        `json:"settings"` // path of the settings file
 }
 
-// Files of a plan's directory.
+// Files in a plan's directory, and the ports reserved for each node.
 const (
 	planFile     = "plan.json"
 	tableFile    = "table.csv"
@@ -45,18 +45,18 @@
 	portsPerNode = 4
 )
 
-// PlanConfig describes the fleet to plan.
+// PlanConfig describes a fleet for which WritePlan writes a plan.
 type PlanConfig struct {
 	Dir        string
 	BasePort   int
 	Placements []standin.Placement
 	Table      []byte
-	// Extra is added to the settings of every node, as INI text.
+	// Extra is INI text that is appended to the settings of every node.
 	Extra string
 }
 
-// WritePlan writes table, instance list, certificates and settings of a fleet
-// to its directory.
+// WritePlan writes the plan, table, instance list, certificates and settings files of a
+// fleet to cfg.Dir.
 func WritePlan(cfg PlanConfig) (*Plan, error) {
 	if err := os.MkdirAll(filepath.Join(cfg.Dir, settingsDir), 0o755); err != nil {
 		return nil, errors.Wrap(err, "plan")
@@ -121,7 +121,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// ReadPlan reads the plan in a directory.
+// ReadPlan reads the plan that WritePlan wrote to dir.
 func ReadPlan(dir string) (*Plan, error) {
 	raw, err := os.ReadFile(filepath.Join(dir, planFile))
 	if err != nil {
--- a/internal/bench/process.go
+++ b/internal/bench/process.go
@@ -10,23 +10,23 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Usage is what a process has used, from /proc.
+// Usage is the CPU time and memory of a process, from /proc.
 type Usage struct {
 	CPU time.Duration // user and system time
-	RSS int64         // bytes
+	RSS int64         // resident memory in bytes
 }
 
-// clockTick is the unit of CPU time in /proc, fixed on Linux.
+// clockTick is the unit of CPU time in /proc; Linux fixes it for user space.
 const clockTick = 10 * time.Millisecond
 
-// Fields of /proc/PID/stat after the command name, counted from 0.
+// Indices of fields in /proc/PID/stat, counted from 0 after the command name.
 const (
 	statUser   = 11
 	statSystem = 12
 	statRSS    = 21
 )
 
-// ProcessUsage reads the usage of a process.
+// ProcessUsage returns the usage of the process with the given ID.
 func ProcessUsage(pid int) (Usage, error) {
 	raw, err := os.ReadFile(filepath.Join("/proc", strconv.Itoa(pid), "stat"))
 	if err != nil {
@@ -47,11 +47,11 @@
 	}, errors.Wrap(err, "process")
 }
 
-// pidsDir holds a file with the process ID for each name, written by
-// scripts/fleet.
+// pidsDir is the directory where scripts/fleet writes a file with the process ID for
+// each process name.
 const pidsDir = "pids"
 
-// ReadPID returns the process ID of a named process of the plan in dir.
+// ReadPID returns the process ID of the named process of the plan in dir.
 func ReadPID(dir, name string) (int, error) {
 	raw, err := os.ReadFile(filepath.Join(dir, pidsDir, name))
 	if err != nil {
--- a/internal/bench/slopes.go
+++ b/internal/bench/slopes.go
@@ -17,15 +17,15 @@
 // Line is a least-squares fit y = Base + Slope*x.
 type Line struct {
 	Base, Slope float64
-	// Spread is the standard deviation of the points about the line.
+	// Spread is the standard deviation of the points from the line.
 	Spread float64
 }
 
-// At returns the fitted value.
+// At returns the line's value at x.
 func (l Line) At(x float64) float64 { return l.Base + l.Slope*x }
 
-// Fit returns the least-squares line through the points. It needs at least two
-// different x.
+// Fit returns the least-squares line through the points. Points with fewer than two
+// different x are an error.
 func Fit(xs, ys []float64) (Line, error) {
 	n := float64(len(xs))
 	if len(xs) < 2 || len(xs) != len(ys) {
@@ -49,32 +49,32 @@
 	return l, nil
 }
 
-// targetNodes is the fleet size that slopes are carried to.
-const targetNodes = 2300
+// projectedNodes is the fleet size to which the lines are extrapolated.
+const projectedNodes = 2300
 
-// figure is one column of the slopes table.
-type figure struct {
-	name string
-	of   func(ControlResult) float64
+// resultColumn is a value of ControlResult that gets a row in the slopes table.
+type resultColumn struct {
+	name  string
+	value func(ControlResult) float64
 }
 
-var figures = []figure{
-	{"in force everywhere p50, ms", func(r ControlResult) float64 { return r.EditP50 }},
-	{"in force everywhere p99, ms", func(r ControlResult) float64 { return r.EditP99 }},
-	{"sent, B/s", func(r ControlResult) float64 { return r.WireBps }},
+var resultColumns = []resultColumn{
+	{"in force everywhere p50, ms", func(r ControlResult) float64 { return r.AllNodesP50Ms }},
+	{"in force everywhere p99, ms", func(r ControlResult) float64 { return r.AllNodesP99Ms }},
+	{"sent, B/s", func(r ControlResult) float64 { return r.WireBytesPerSecond }},
 	{"sent by the busiest, B/s", func(r ControlResult) float64 { return r.WireMax }},
 	{"CPU, % of a core", func(r ControlResult) float64 { return r.CPUPct }},
 	{"CPU of the busiest, %", func(r ControlResult) float64 { return r.CPUMax }},
 	{"RSS, MB", func(r ControlResult) float64 { return r.RSSMB }},
 	{"RSS of the largest, MB", func(r ControlResult) float64 { return r.RSSMax }},
 	{"links", func(r ControlResult) float64 { return r.Links }},
-	{"platform calls/s, whole fleet", func(r ControlResult) float64 { return r.Reads }},
-	{"platform calls in the busiest second", func(r ControlResult) float64 { return float64(r.ReadPeak) }},
+	{"platform calls/s, whole fleet", func(r ControlResult) float64 { return r.PlatformReadsPerSecond }},
+	{"platform calls in the busiest second", func(r ControlResult) float64 { return float64(r.PlatformPeakReads) }},
 }
 
-// WriteSlopes reads the results of scripts/scale of one kind (edits, rest,
-// herd) and writes each figure at each size, its line, and the line's value at
-// the target size.
+// WriteSlopes reads the results of scripts/scale of one kind (edits, rest or herd) from
+// dir. For each value it writes a row with the value at each fleet size, the slope and
+// spread of the fitted line, and the line's value at projectedNodes.
 func WriteSlopes(w io.Writer, dir, kind string) error {
 	results, err := readResults(dir, kind)
 	if err != nil {
@@ -85,19 +85,19 @@
 	for _, r := range results {
 		_, _ = fmt.Fprintf(tw, "| %d\t", r.Nodes)
 	}
-	_, _ = fmt.Fprintf(tw, "| slope per node\t| spread\t| line at %d\t|\n", targetNodes)
-	for _, f := range figures {
+	_, _ = fmt.Fprintf(tw, "| slope per node\t| spread\t| line at %d\t|\n", projectedNodes)
+	for _, f := range resultColumns {
 		var xs, ys []float64
 		_, _ = fmt.Fprintf(tw, "| %s\t", f.name)
 		for _, r := range results {
-			xs, ys = append(xs, float64(r.Nodes)), append(ys, f.of(r))
-			_, _ = fmt.Fprintf(tw, "| %.4g\t", f.of(r))
+			xs, ys = append(xs, float64(r.Nodes)), append(ys, f.value(r))
+			_, _ = fmt.Fprintf(tw, "| %.4g\t", f.value(r))
 		}
 		line, err := Fit(xs, ys)
 		if err != nil {
 			return err
 		}
-		_, _ = fmt.Fprintf(tw, "| %.3g\t| %.2g\t| %.4g\t|\n", line.Slope, line.Spread, line.At(targetNodes))
+		_, _ = fmt.Fprintf(tw, "| %.3g\t| %.2g\t| %.4g\t|\n", line.Slope, line.Spread, line.At(projectedNodes))
 	}
 	return tw.Flush()
 }
@@ -114,7 +114,7 @@
 			return nil, err
 		}
 		if strings.TrimSpace(string(raw)) == "" {
-			continue // still being measured
+			continue // its measurement is still running
 		}
 		var r ControlResult
 		if err := json.Unmarshal(raw, &r); err != nil {
--- a/internal/standin/layout.go
+++ b/internal/standin/layout.go
@@ -13,19 +13,19 @@
 	"github.com/walldrift/walldrift/internal/table"
 )
 
-// Group is one service of a layout.
+// Group is one service of a layout with its upstream instances, the targets.
 type Group struct {
 	Service    string
-	Targets    int
-	Slots      int
-	Work       time.Duration
+	Targets    int           // number of upstream instances
+	Slots      int           // concurrent requests of one target
+	Work       time.Duration // time that a target takes for one request
 	Kind       string
 	KindWeight float64
 	Prefix     string
 	Idempotent bool
 }
 
-// Layout describes a deployment.
+// Layout describes a deployment: its services and the data centres they run in.
 type Layout struct {
 	Name    string
 	Region  string
@@ -33,37 +33,38 @@
 	Groups  []Group
 }
 
-// Slots of one target, from the brief's sizes of today.
+// Slots of one target in the deployments below, at their present size.
 const (
-	kerblineSlots = 12
-	kestrelSlots  = 18
+	kerblineSlotsPerTarget = 12
+	kestrelSlotsPerTarget  = 18
 )
 
-// Kerbline returns the parking deployment at its size of today.
+// Kerbline returns the deployment of a parking company at its present size.
 func Kerbline() Layout {
 	return Layout{
 		Name: "kerbline", Region: "scotland", Centres: []string{"glasgow-1", "glasgow-2", "edinburgh-1"},
 		Groups: []Group{
-			{"tariff", 6, kerblineSlots, 10 * time.Millisecond, "lookup", 1, "/tariff", true},
-			{"payments", 4, kerblineSlots, 25 * time.Millisecond, "payment", 5, "/payments", false},
-			{"enforcement", 3, kerblineSlots, 20 * time.Millisecond, "permit", 3, "/enforcement", true},
+			{"tariff", 6, kerblineSlotsPerTarget, 10 * time.Millisecond, "lookup", 1, "/tariff", true},
+			{"payments", 4, kerblineSlotsPerTarget, 25 * time.Millisecond, "payment", 5, "/payments", false},
+			{"enforcement", 3, kerblineSlotsPerTarget, 20 * time.Millisecond, "permit", 3, "/enforcement", true},
 		},
 	}
 }
 
-// KestrelBrook returns the lending deployment at its size of today.
+// KestrelBrook returns the deployment of a lending company at its present size.
 func KestrelBrook() Layout {
 	return Layout{
 		Name: "kestrel", Region: "western-australia", Centres: []string{"perth-1", "perth-2", "bunbury-1"},
 		Groups: []Group{
-			{"statements", 6, kestrelSlots, 10 * time.Millisecond, "statement", 1, "/statements", true},
-			{"ledger", 4, kestrelSlots, 25 * time.Millisecond, "drawdown", 5, "/ledger", false},
-			{"intake", 3, kestrelSlots, 40 * time.Millisecond, "paper", 2, "/intake", true},
+			{"statements", 6, kestrelSlotsPerTarget, 10 * time.Millisecond, "statement", 1, "/statements", true},
+			{"ledger", 4, kestrelSlotsPerTarget, 25 * time.Millisecond, "drawdown", 5, "/ledger", false},
+			{"intake", 3, kestrelSlotsPerTarget, 40 * time.Millisecond, "paper", 2, "/intake", true},
 		},
 	}
 }
 
-// Synthetic returns a layout with the given numbers, for measurements.
+// Synthetic returns placements of the given numbers of targets, services, data centres
+// and regions, for measurements. Their Group is empty.
 func Synthetic(targets, services, centres, regions int) []Placement {
 	var out []Placement
 	for i := range targets {
@@ -78,7 +79,7 @@
 	return out
 }
 
-// Placement is one target of a layout in its place.
+// Placement is one target of a layout with the data centre it runs in.
 type Placement struct {
 	Name, Service, DataCentre, Region string
 	Group                             Group
@@ -101,27 +102,27 @@
 	return out
 }
 
-// Table returns the layout as the first edition of a table.
+// Table returns the layout's table as CSV, edition 1.
 func (l Layout) Table() []byte {
 	w := newTableWriter()
 	for _, g := range l.Groups {
 		w.row(table.RowService, g.Service, nil)
 	}
 	for _, p := range l.Placements() {
-		w.row(table.RowUpstream, p.Name, cellsOf{table.ColService: p.Service, table.ColWeight: "1", table.ColConcurrency: strconv.Itoa(p.Group.Slots)})
+		w.row(table.RowUpstream, p.Name, rowCells{table.ColService: p.Service, table.ColWeight: "1", table.ColConcurrency: strconv.Itoa(p.Group.Slots)})
 	}
 	for _, g := range l.Groups {
-		w.row(table.RowRoute, g.Service, cellsOf{
+		w.row(table.RowRoute, g.Service, rowCells{
 			table.ColService: g.Service, table.ColPrefix: g.Prefix, table.ColKind: g.Kind,
 			table.ColKindWeight: strconv.FormatFloat(g.KindWeight, 'g', -1, 64),
-			table.ColTimeout:    "2000", table.ColRetries: "1", table.ColIdempotent: yesNo(g.Idempotent),
+			table.ColTimeout:    "2000", table.ColRetries: "1", table.ColIdempotent: formatYesNo(g.Idempotent),
 		})
 	}
 	return w.bytes()
 }
 
-// SyntheticTable returns a table for placements without groups: one idempotent
-// route for each service.
+// SyntheticTable returns the table for placements of Synthetic: each service has one
+// idempotent route.
 func SyntheticTable(all []Placement) []byte {
 	w := newTableWriter()
 	seen := make(map[string]bool)
@@ -129,23 +130,23 @@
 		if !seen[p.Service] {
 			seen[p.Service] = true
 			w.row(table.RowService, p.Service, nil)
-			w.row(table.RowRoute, p.Service, cellsOf{table.ColService: p.Service, table.ColPrefix: "/" + p.Service,
-				table.ColKind: "call", table.ColIdempotent: yesNo(true), table.ColTimeout: "2000"})
+			w.row(table.RowRoute, p.Service, rowCells{table.ColService: p.Service, table.ColPrefix: "/" + p.Service,
+				table.ColKind: "call", table.ColIdempotent: formatYesNo(true), table.ColTimeout: "2000"})
 		}
-		w.row(table.RowUpstream, p.Name, cellsOf{table.ColService: p.Service, table.ColWeight: "1", table.ColConcurrency: "12"})
+		w.row(table.RowUpstream, p.Name, rowCells{table.ColService: p.Service, table.ColWeight: "1", table.ColConcurrency: "12"})
 	}
 	return w.bytes()
 }
 
-func yesNo(b bool) string {
+func formatYesNo(b bool) string {
 	if b {
 		return "yes"
 	}
 	return "no"
 }
 
-// cellsOf holds the filled cells of a row besides its type and name.
-type cellsOf map[table.Column]string
+// rowCells holds the non-empty cells of a row except its type and name.
+type rowCells map[table.Column]string
 
 type tableWriter struct {
 	buf bytes.Buffer
@@ -155,21 +156,21 @@
 func newTableWriter() *tableWriter {
 	w := &tableWriter{}
 	w.csv = csv.NewWriter(&w.buf)
-	head := make([]string, len(table.Header))
+	header := make([]string, len(table.Header))
 	for i, c := range table.Header {
-		head[i] = string(c)
+		header[i] = string(c)
 	}
-	_ = w.csv.Write(head)
+	_ = w.csv.Write(header)
 	w.row(table.RowTable, "1", nil)
 	return w
 }
 
-func (w *tableWriter) row(kind table.RowType, name string, cells cellsOf) {
+func (w *tableWriter) row(rowType table.RowType, name string, cells rowCells) {
 	rec := make([]string, len(table.Header))
 	for i, c := range table.Header {
 		rec[i] = cells[c]
 	}
-	rec[0], rec[1] = string(kind), name
+	rec[0], rec[1] = string(rowType), name
 	_ = w.csv.Write(rec)
 }
 
@@ -178,7 +179,7 @@
 	return w.buf.Bytes()
 }
 
-// List encodes the instance list of placements at the given peer addresses.
+// List returns the JSON instance list of the placements that have a peer address in peers.
 func List(revision uint64, all []Placement, peers map[string]netip.AddrPort) []byte {
 	l := membership.List{Revision: revision}
 	for _, p := range all {
@@ -193,7 +194,7 @@
 	}
 	b, err := json.MarshalIndent(l, "", " ")
 	if err != nil {
-		panic(err) // the types above always encode
+		panic(err) // cannot happen: every field of these types can be encoded
 	}
 	return b
 }
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -1,6 +1,5 @@
-// Package standin holds small stand-ins of the platform and of upstreams, for
-// the demo, for tests and for measurements. They speak the published protocols
-// that the real ones would.
+// Package standin contains fakes of the platform and of upstreams for the demo, tests
+// and measurements. They speak the protocols of the real ones.
 package standin
 
 import (
@@ -20,35 +19,34 @@
 	"github.com/walldrift/walldrift/internal/table"
 )
 
-// Platform is a stand-in of the configuration service: values with an index,
-// read and watched over HTTP. PUT is the operators' side of it; no node uses
-// it.
+// Platform is an in-memory fake of the configuration service: values with an index that
+// are read and watched over HTTP. Operators publish with PUT; nodes only read.
 type Platform struct {
 	mu      sync.Mutex
 	values  map[string]platform.Value
 	changed chan struct{} // closed and replaced at each change
 	index   uint64
 
-	calls  atomic.Int64
-	bytes  atomic.Int64
-	down   atomic.Bool
-	stale  atomic.Pointer[map[string]platform.Value]
-	window rateWindow
+	calls       atomic.Int64
+	bytes       atomic.Int64
+	unavailable atomic.Bool
+	staleValues atomic.Pointer[map[string]platform.Value]
+	callRate    peakRate
 }
 
-// NewPlatform returns an empty stand-in.
+// NewPlatform returns a Platform without values.
 func NewPlatform() *Platform {
 	return &Platform{values: make(map[string]platform.Value), changed: make(chan struct{})}
 }
 
-// Put publishes a value, as an operator's tool does.
+// Put publishes a value, as an operator's tool does, and returns its index.
 func (p *Platform) Put(key string, raw []byte) uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.put(key, raw)
+	return p.putLocked(key, raw)
 }
 
-func (p *Platform) put(key string, raw []byte) uint64 {
+func (p *Platform) putLocked(key string, raw []byte) uint64 {
 	p.index++
 	p.values[key] = platform.Value{Raw: raw, Index: p.index}
 	close(p.changed)
@@ -56,18 +54,18 @@
 	return p.index
 }
 
-// PutIf publishes a value if the present one has the given index.
+// PutIf publishes a value if the current one has the given index (compare-and-set).
 func (p *Platform) PutIf(key string, raw []byte, index uint64) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.values[key].Index != index {
 		return false
 	}
-	p.put(key, raw)
+	p.putLocked(key, raw)
 	return true
 }
 
-// Get returns the value of key.
+// Get returns the current value of key.
 func (p *Platform) Get(key string) (platform.Value, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -75,14 +73,14 @@
 	return v, ok
 }
 
-// SetDown makes every call fail, or work again.
-func (p *Platform) SetDown(down bool) { p.down.Store(down) }
+// SetDown makes every call fail with status 503, or succeed again.
+func (p *Platform) SetDown(down bool) { p.unavailable.Store(down) }
 
-// Freeze makes all later reads return the present values, as a stale replica
-// does, until called with false.
-func (p *Platform) Freeze(on bool) {
+// SetStale(true) makes later reads return the values of this moment, as a stale replica
+// does; SetStale(false) ends that.
+func (p *Platform) SetStale(on bool) {
 	if !on {
-		p.stale.Store(nil)
+		p.staleValues.Store(nil)
 		return
 	}
 	p.mu.Lock()
@@ -91,44 +89,47 @@
 	for k, v := range p.values {
 		old[k] = v
 	}
-	p.stale.Store(&old)
+	p.staleValues.Store(&old)
 }
 
-// Counts are the calls that the stand-in has served.
+// Counts are the read calls that a Platform has received and the bytes it returned.
 type Counts struct {
 	Calls      int64 `json:"calls"`
 	Bytes      int64 `json:"bytes"`
 	PeakSecond int64 `json:"peak_second"` // most calls in one second
 }
 
-// Counts returns the calls so far.
+// Counts returns the counts since the start.
 func (p *Platform) Counts() Counts {
-	return Counts{Calls: p.calls.Load(), Bytes: p.bytes.Load(), PeakSecond: p.window.peak()}
+	return Counts{Calls: p.calls.Load(), Bytes: p.bytes.Load(), PeakSecond: p.callRate.peak()}
 }
 
-// Paths of the stand-in besides the key-value interface.
+// Paths besides the key-value interface: counters and fault injection.
 const (
 	pathCounts = "/standin/counts"
 	pathDown   = "/standin/down/"
 	pathStale  = "/standin/stale/"
 )
 
-// Handler serves the stand-in over HTTP.
+// Handler returns the HTTP interface of the Platform.
 func (p *Platform) Handler() http.Handler {
 	e := echo.New()
 	e.HideBanner, e.HidePort = true, true
-	e.GET(platform.PathPrefix+"*", p.get)
-	e.PUT(platform.PathPrefix+"*", p.putHTTP)
+	e.GET(platform.PathPrefix+"*", p.handleGet)
+	e.PUT(platform.PathPrefix+"*", p.handlePut)
 	e.GET(pathCounts, func(c echo.Context) error { return c.JSON(http.StatusOK, p.Counts()) })
 	e.POST(pathDown+":on", func(c echo.Context) error { p.SetDown(c.Param("on") == "on"); return c.NoContent(http.StatusNoContent) })
-	e.POST(pathStale+":on", func(c echo.Context) error { p.Freeze(c.Param("on") == "on"); return c.NoContent(http.StatusNoContent) })
+	e.POST(pathStale+":on", func(c echo.Context) error {
+		p.SetStale(c.Param("on") == "on")
+		return c.NoContent(http.StatusNoContent)
+	})
 	return e
 }
 
-func (p *Platform) get(c echo.Context) error {
+func (p *Platform) handleGet(c echo.Context) error {
 	p.calls.Add(1)
-	p.window.add(time.Now())
-	if p.down.Load() {
+	p.callRate.add(time.Now())
+	if p.unavailable.Load() {
 		return echo.NewHTTPError(http.StatusServiceUnavailable, "down")
 	}
 	key := c.Param("*")
@@ -141,12 +142,12 @@
 		if err != nil {
 			return echo.NewHTTPError(http.StatusBadRequest, "wait")
 		}
-		p.await(c.Request().Context(), key, index, wait)
-		if p.down.Load() {
+		p.awaitChange(c.Request().Context(), key, index, wait)
+		if p.unavailable.Load() {
 			return echo.NewHTTPError(http.StatusServiceUnavailable, "down")
 		}
 	}
-	v, ok := p.visible(key)
+	v, ok := p.servedValue(key)
 	if !ok {
 		return echo.NewHTTPError(http.StatusNotFound, "no value")
 	}
@@ -155,23 +156,24 @@
 	return c.Blob(http.StatusOK, "application/octet-stream", v.Raw)
 }
 
-func (p *Platform) visible(key string) (platform.Value, bool) {
-	if old := p.stale.Load(); old != nil {
+// servedValue returns the value that a read sees: the old one after SetStale(true).
+func (p *Platform) servedValue(key string) (platform.Value, bool) {
+	if old := p.staleValues.Load(); old != nil {
 		v, ok := (*old)[key]
 		return v, ok
 	}
 	return p.Get(key)
 }
 
-// await returns when the value's index differs from index or the wait ends.
-func (p *Platform) await(ctx context.Context, key string, index uint64, wait time.Duration) {
+// awaitChange returns when the value's index differs from index, or wait or ctx ends.
+func (p *Platform) awaitChange(ctx context.Context, key string, index uint64, wait time.Duration) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
 		p.mu.Lock()
 		changed := p.changed
 		p.mu.Unlock()
-		if v, ok := p.visible(key); ok && v.Index != index {
+		if v, ok := p.servedValue(key); ok && v.Index != index {
 			return
 		}
 		select {
@@ -184,7 +186,7 @@
 	}
 }
 
-func (p *Platform) putHTTP(c echo.Context) error {
+func (p *Platform) handlePut(c echo.Context) error {
 	raw, err := io.ReadAll(io.LimitReader(c.Request().Body, table.MaxBytes+1))
 	if err != nil {
 		return err
@@ -204,32 +206,32 @@
 	return c.String(http.StatusOK, "true")
 }
 
-// rateWindow keeps the largest number of calls in any calendar second.
-type rateWindow struct {
-	mu     sync.Mutex
-	second int64
-	now    int64
-	most   int64
+// peakRate records the largest number of calls in any one calendar second.
+type peakRate struct {
+	mu      sync.Mutex
+	second  int64
+	count   int64
+	highest int64
 }
 
-func (w *rateWindow) add(t time.Time) {
+func (w *peakRate) add(t time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if s := t.Unix(); s != w.second {
-		w.second, w.now = s, 0
+		w.second, w.count = s, 0
 	}
-	w.now++
-	w.most = max(w.most, w.now)
+	w.count++
+	w.highest = max(w.highest, w.count)
 }
 
-func (w *rateWindow) peak() int64 {
+func (w *peakRate) peak() int64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.most
+	return w.highest
 }
 
-// Serve runs a handler on addr until ctx ends. ready is called with the bound
-// address.
+// Serve serves h on addr until ctx ends; it then returns nil. ready is called with the
+// bound address before the first request is served.
 func Serve(ctx context.Context, addr string, h http.Handler, ready func(addr string)) error {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
--- a/internal/standin/upstream.go
+++ b/internal/standin/upstream.go
@@ -12,63 +12,64 @@
 	"time"
 )
 
-// Headers of the upstream stand-in.
+// Headers of requests that control how an Upstream responds.
 const (
+	// HeaderRequestID identifies a request in the response and in Runs.
 	HeaderRequestID = "X-Request-Id"
-	// HeaderWork overrides the time a request takes, in milliseconds.
+	// HeaderWork overrides the time that a request takes, in milliseconds.
 	HeaderWork = "X-Work-Ms"
-	// HeaderAnswer sets the size of the answer's padding in bytes.
+	// HeaderAnswer sets the size of the response's padding in bytes.
 	HeaderAnswer = "X-Answer-Bytes"
-	// HeaderPretend makes the answer carry a header that only nodes write.
-	HeaderPretend = "X-Pretend-Outcome"
-	nodeOutcome   = "Walldrift-Outcome"
+	// HeaderPretend adds an outcome header, which only nodes may set, to the response.
+	HeaderPretend     = "X-Pretend-Outcome"
+	headerNodeOutcome = "Walldrift-Outcome"
 )
 
-// maxPadding bounds the padding of an answer.
+// maxPadding bounds the padding of a response, in bytes.
 const maxPadding = 16 << 20
 
-// UpstreamConfig holds the settings of an Upstream.
+// UpstreamConfig configures an Upstream.
 type UpstreamConfig struct {
 	Name  string
-	Slots int           // requests worked on at once; more wait inside
+	Slots int           // concurrent requests; more wait in the upstream
 	Work  time.Duration // time that one request takes
-	// Lie makes the load end point report an idle upstream.
+	// Lie makes the load endpoint always report an idle upstream.
 	Lie bool
 }
 
-// Upstream is a stand-in of one upstream instance. It answers with what it got,
-// so that a caller can tell its own answer, and counts what it ran.
+// Upstream is a fake of one upstream instance. It echoes the request, so that a caller
+// can check that the response is its own, and counts how often each request ran.
 type Upstream struct {
-	cfg      UpstreamConfig
-	slots    chan struct{}
-	slowdown atomic.Int64 // percent of Work; 100 is normal
-	draining atomic.Bool
-	inUse    atomic.Int64
-
-	mu   sync.Mutex
-	runs map[string]int // by request ID
-	last time.Time      // start of the newest request
+	cfg         UpstreamConfig
+	slots       chan struct{}
+	workPercent atomic.Int64 // percent of the normal time that a request takes
+	draining    atomic.Bool
+	inUse       atomic.Int64
+
+	mu        sync.Mutex
+	runs      map[string]int // number of runs by request ID
+	lastStart time.Time      // when the last request started
 }
 
-// maxRuns bounds the request IDs counted.
-const maxRuns = 1 << 20
+// maxCountedIDs bounds the request IDs that runs holds.
+const maxCountedIDs = 1 << 20
 
-// NewUpstream returns a stand-in.
+// NewUpstream returns an Upstream at normal speed.
 func NewUpstream(cfg UpstreamConfig) *Upstream {
 	u := &Upstream{cfg: cfg, slots: make(chan struct{}, cfg.Slots), runs: make(map[string]int)}
-	u.slowdown.Store(normalSpeed)
+	u.workPercent.Store(normalWorkPercent)
 	return u
 }
 
-const normalSpeed = 100
+const normalWorkPercent = 100
 
-// SetSlowdown makes each request take percent of its normal time.
-func (u *Upstream) SetSlowdown(percent int) { u.slowdown.Store(int64(percent)) }
+// SetWorkPercent makes each request take percent of its normal time; 100 is normal.
+func (u *Upstream) SetWorkPercent(percent int) { u.workPercent.Store(int64(percent)) }
 
-// SetDraining changes what the health end point says.
+// SetDraining sets whether the health endpoint reports draining.
 func (u *Upstream) SetDraining(on bool) { u.draining.Store(on) }
 
-// Runs returns how often each request ID was run.
+// Runs returns how often each request ID ran.
 func (u *Upstream) Runs() map[string]int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -79,14 +80,14 @@
 	return out
 }
 
-// LastStart returns when the newest request began to run.
+// LastStart returns when the last request started to run.
 func (u *Upstream) LastStart() time.Time {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return u.last
+	return u.lastStart
 }
 
-// Echo is the answer of an upstream stand-in.
+// Echo is the response body of an Upstream: what it received.
 type Echo struct {
 	Upstream  string `json:"upstream"`
 	RequestID string `json:"request_id"`
@@ -96,14 +97,15 @@
 	Padding   string `json:"padding,omitempty"`
 }
 
-// ServeHTTP works on one request.
+// ServeHTTP serves the health, load and control endpoints; any other path is a request
+// that occupies a slot for its work time.
 func (u *Upstream) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	switch r.URL.Path {
 	case "/health":
-		u.health(w)
+		u.serveHealth(w)
 		return
 	case "/load":
-		u.load(w)
+		u.serveLoad(w)
 		return
 	case "/standin/runs":
 		_ = json.NewEncoder(w).Encode(u.Runs())
@@ -113,14 +115,14 @@
 		return
 	case "/standin/slow":
 		if percent, err := strconv.Atoi(r.URL.Query().Get("percent")); err == nil && percent > 0 {
-			u.SetSlowdown(percent)
+			u.SetWorkPercent(percent)
 		}
 		return
 	}
-	u.work(w, r)
+	u.serveRequest(w, r)
 }
 
-func (u *Upstream) health(w http.ResponseWriter) {
+func (u *Upstream) serveHealth(w http.ResponseWriter) {
 	if u.draining.Load() {
 		http.Error(w, "draining", http.StatusServiceUnavailable)
 		return
@@ -128,7 +130,7 @@
 	_, _ = io.WriteString(w, "ok\n")
 }
 
-func (u *Upstream) load(w http.ResponseWriter) {
+func (u *Upstream) serveLoad(w http.ResponseWriter) {
 	inUse := u.inUse.Load()
 	if u.cfg.Lie {
 		inUse = 0
@@ -136,7 +138,7 @@
 	_, _ = io.WriteString(w, strconv.FormatInt(inUse, 10)+"\n")
 }
 
-func (u *Upstream) work(w http.ResponseWriter, r *http.Request) {
+func (u *Upstream) serveRequest(w http.ResponseWriter, r *http.Request) {
 	select {
 	case u.slots <- struct{}{}:
 	case <-r.Context().Done():
@@ -145,38 +147,38 @@
 	u.inUse.Add(1)
 	defer func() { u.inUse.Add(-1); <-u.slots }()
 	id := r.Header.Get(HeaderRequestID)
-	u.count(id)
+	u.countRun(id)
 	sum := sha256.New()
 	n, err := io.Copy(sum, r.Body)
 	if err != nil {
 		return
 	}
 	select {
-	case <-time.After(u.duration(r)):
+	case <-time.After(u.workDuration(r)):
 	case <-r.Context().Done():
 		return
 	}
-	u.answer(w, r, Echo{Upstream: u.cfg.Name, RequestID: id, Path: r.URL.Path, Bytes: int(n), SHA256: hex.EncodeToString(sum.Sum(nil))})
+	u.respond(w, r, Echo{Upstream: u.cfg.Name, RequestID: id, Path: r.URL.Path, Bytes: int(n), SHA256: hex.EncodeToString(sum.Sum(nil))})
 }
 
-func (u *Upstream) count(id string) {
+func (u *Upstream) countRun(id string) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.last = time.Now()
-	if id != "" && len(u.runs) < maxRuns {
+	u.lastStart = time.Now()
+	if id != "" && len(u.runs) < maxCountedIDs {
 		u.runs[id]++
 	}
 }
 
-func (u *Upstream) duration(r *http.Request) time.Duration {
+func (u *Upstream) workDuration(r *http.Request) time.Duration {
 	d := u.cfg.Work
 	if ms, err := strconv.Atoi(r.Header.Get(HeaderWork)); err == nil && ms >= 0 {
 		d = time.Duration(ms) * time.Millisecond
 	}
-	return d * time.Duration(u.slowdown.Load()) / normalSpeed
+	return d * time.Duration(u.workPercent.Load()) / normalWorkPercent
 }
 
-func (u *Upstream) answer(w http.ResponseWriter, r *http.Request, e Echo) {
+func (u *Upstream) respond(w http.ResponseWriter, r *http.Request, e Echo) {
 	if n, err := strconv.Atoi(r.Header.Get(HeaderAnswer)); err == nil && n > 0 && n <= maxPadding {
 		pad := make([]byte, n)
 		for i := range pad {
@@ -190,10 +192,10 @@
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(b)))
-	// A careless upstream that copies headers of its own calls must not be
-	// able to speak for a node.
+	// Simulates an upstream that copies headers from calls of its own: nodes must not
+	// take its outcome header for that of a node.
 	if v := r.Header.Get(HeaderPretend); v != "" {
-		w.Header().Set(nodeOutcome, v)
+		w.Header().Set(headerNodeOutcome, v)
 	}
 	_, _ = w.Write(b)
 }
