--- a/cmd/walldrift/fleet_test.go
+++ b/cmd/walldrift/fleet_test.go
@@ -25,28 +25,28 @@
 	"github.com/walldrift/walldrift/internal/table"
 )
 
-// processes is a fleet of separate processes.
-type processes struct {
-	t    *testing.T
-	dir  string
-	plan *bench.Plan
-	byID map[string]*exec.Cmd
+// processFleet is a fleet of separate processes: platform, upstreams and nodes.
+type processFleet struct {
+	t        *testing.T
+	dir      string
+	plan     *bench.Plan
+	commands map[string]*exec.Cmd
 }
 
-const extraSettings = `[ledger]
+const testSettings = `[ledger]
 skew = 1ms
 settle = 500ms
 [shutdown]
 announce = 100ms
 `
 
-func startProcesses(t *testing.T) *processes {
+func startProcessFleet(t *testing.T) *processFleet {
 	t.Helper()
 	layout := standin.Kerbline()
-	p := &processes{t: t, dir: t.TempDir(), byID: make(map[string]*exec.Cmd)}
+	p := &processFleet{t: t, dir: t.TempDir(), commands: make(map[string]*exec.Cmd)}
 	var err error
 	p.plan, err = bench.WritePlan(bench.PlanConfig{
-		Dir: p.dir, BasePort: freePorts(t, 80), Placements: layout.Placements(), Table: layout.Table(), Extra: extraSettings,
+		Dir: p.dir, BasePort: freePorts(t, 80), Placements: layout.Placements(), Table: layout.Table(), Extra: testSettings,
 	})
 	assert.NilError(t, err)
 	t.Cleanup(p.stopAll)
@@ -59,8 +59,8 @@
 	return p
 }
 
-// freePorts finds a range of ports below the ephemeral ones in which the first
-// is free.
+// freePorts returns the start of a range of n ports below the ephemeral ones. It checks
+// only that the first port is free.
 func freePorts(t *testing.T, n int) int {
 	t.Helper()
 	for base := 21000; base < 32000; base += n {
@@ -75,45 +75,45 @@
 	return 0
 }
 
-func (p *processes) startPlatform() {
+func (p *processFleet) startPlatform() {
 	p.start("platform", "standin", "platform", "--listen", p.plan.Platform,
 		"--table", filepath.Join(p.dir, "table.csv"), "--instances", filepath.Join(p.dir, "instances.json"))
 }
 
-func (p *processes) startNode(name string) {
+func (p *processFleet) startNode(name string) {
 	p.start(name, "node", "--config", filepath.Join(p.dir, "nodes", name+".ini"))
 }
 
-func (p *processes) start(name string, args ...string) {
+func (p *processFleet) start(name string, args ...string) {
 	log, err := os.OpenFile(filepath.Join(p.dir, name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	assert.NilError(p.t, err)
 	cmd := exec.Command(binary, args...)
 	cmd.Stdout, cmd.Stderr = log, log
 	assert.NilError(p.t, cmd.Start())
-	p.byID[name] = cmd
+	p.commands[name] = cmd
 }
 
-func (p *processes) signal(name string, s syscall.Signal) {
-	assert.NilError(p.t, p.byID[name].Process.Signal(s))
+func (p *processFleet) signal(name string, s syscall.Signal) {
+	assert.NilError(p.t, p.commands[name].Process.Signal(s))
 }
 
-// kill ends a process without warning.
-func (p *processes) kill(name string) {
+// kill ends a process with SIGKILL.
+func (p *processFleet) kill(name string) {
 	p.signal(name, syscall.SIGKILL)
-	_ = p.byID[name].Wait()
-	delete(p.byID, name)
+	_ = p.commands[name].Wait()
+	delete(p.commands, name)
 }
 
-func (p *processes) stopAll() {
-	for _, cmd := range p.byID {
+func (p *processFleet) stopAll() {
+	for _, cmd := range p.commands {
 		_ = cmd.Process.Kill()
 	}
-	for _, cmd := range p.byID {
+	for _, cmd := range p.commands {
 		_ = cmd.Wait()
 	}
 }
 
-func (p *processes) node(name string) bench.PlanNode {
+func (p *processFleet) node(name string) bench.PlanNode {
 	for _, n := range p.plan.Nodes {
 		if n.Name == name {
 			return n
@@ -123,15 +123,15 @@
 	return bench.PlanNode{}
 }
 
-// awaitTable waits until every running node is ready with a version of the
-// given prefix.
-func (p *processes) awaitTable(prefix string) {
+// awaitTable waits until every running node is ready and its table version has the given
+// prefix.
+func (p *processFleet) awaitTable(prefix string) {
 	p.t.Helper()
 	behind := ""
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 		behind = ""
 		for _, n := range p.plan.Nodes {
-			if p.byID[n.Name] != nil && !p.holds(n, prefix) {
+			if p.commands[n.Name] != nil && !p.hasTable(n, prefix) {
 				behind = n.Name
 			}
 		}
@@ -142,23 +142,23 @@
 	p.t.Fatalf("%s does not hold %s", behind, prefix)
 }
 
-func (p *processes) holds(n bench.PlanNode, prefix string) bool {
-	st, ok := p.status(n)
+func (p *processFleet) hasTable(n bench.PlanNode, prefix string) bool {
+	st, ok := p.nodeStatus(n)
 	return ok && st.Ready && strings.HasPrefix(st.Node.Table, prefix)
 }
 
-type nodeState struct {
+type statusPage struct {
 	Ready bool `json:"ready"`
 	Node  struct {
 		Table string `json:"table"`
 	} `json:"node"`
 }
 
-var quick = &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
+var httpClient = &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 
-func (p *processes) status(n bench.PlanNode) (nodeState, bool) {
-	var st nodeState
-	resp, err := quick.Get("http://" + n.Admin + "/status")
+func (p *processFleet) nodeStatus(n bench.PlanNode) (statusPage, bool) {
+	var st statusPage
+	resp, err := httpClient.Get("http://" + n.Admin + "/status")
 	if err != nil {
 		return st, false
 	}
@@ -166,11 +166,12 @@
 	return st, json.NewDecoder(resp.Body).Decode(&st) == nil
 }
 
-// edit publishes the table with one weight changed and returns its edition.
-func (p *processes) edit(weight int) string {
+// publishEdit publishes the table with the weight of tariff-1 changed and returns the
+// prefix of its version: the edition and a hyphen.
+func (p *processFleet) publishEdit(weight int) string {
 	p.t.Helper()
 	url := "http://" + p.plan.Platform + platform.PathPrefix + platform.KeyTable
-	resp, err := quick.Get(url + "?raw")
+	resp, err := httpClient.Get(url + "?raw")
 	assert.NilError(p.t, err)
 	raw, err := io.ReadAll(resp.Body)
 	assert.NilError(p.t, err)
@@ -179,20 +180,21 @@
 	assert.NilError(p.t, err)
 	req, err := http.NewRequest(http.MethodPut, url, bytes.NewReader(next))
 	assert.NilError(p.t, err)
-	resp, err = quick.Do(req)
+	resp, err = httpClient.Do(req)
 	assert.NilError(p.t, err)
 	assert.NilError(p.t, resp.Body.Close())
 	return fmt.Sprintf("%d-", table.EditionOf(next))
 }
 
-// call sends a request and returns its outcome header and answer.
-func (p *processes) call(via, method, path string) (status int, outcome string, e standin.Echo, id string) {
+// sendRequest sends a request to the node via and returns the response's status, outcome
+// header and body, and the request's ID. The status is 0 if no response arrived.
+func (p *processFleet) sendRequest(via, method, path string) (status int, outcome string, e standin.Echo, id string) {
 	id = uuid.Must(uuid.NewV7()).String()
 	req, err := http.NewRequest(method, "http://"+p.node(via).Callers+path, strings.NewReader("body"))
 	assert.NilError(p.t, err)
 	req.Header.Set(standin.HeaderRequestID, id)
 	req.Header["idempotency-key"] = []string{id}
-	resp, err := quick.Do(req)
+	resp, err := httpClient.Do(req)
 	if err != nil {
 		return 0, "", e, id
 	}
@@ -205,16 +207,16 @@
 	return resp.StatusCode, resp.Header.Get(proxy.HeaderOutcome), e, id
 }
 
-// runs counts how often each request ID ran on any upstream.
-func (p *processes) runs() map[string]int {
+// runCounts returns how often each request ID ran on all upstreams together.
+func (p *processFleet) runCounts() map[string]int {
 	total := make(map[string]int)
 	for _, n := range p.plan.Nodes {
-		resp, err := quick.Get("http://" + n.Upstream + "/standin/runs")
+		resp, err := httpClient.Get("http://" + n.Upstream + "/standin/runs")
 		assert.NilError(p.t, err)
-		var some map[string]int
-		assert.NilError(p.t, json.NewDecoder(resp.Body).Decode(&some))
+		var counts map[string]int
+		assert.NilError(p.t, json.NewDecoder(resp.Body).Decode(&counts))
 		_ = resp.Body.Close()
-		for id, c := range some {
+		for id, c := range counts {
 			total[id] += c
 		}
 	}
--- a/cmd/walldrift/main.go
+++ b/cmd/walldrift/main.go
@@ -1,5 +1,5 @@
-// Command walldrift distributes a mesh's configuration table to the nodes
-// beside its upstreams and carries the requests between them.
+// Command walldrift distributes a service mesh's configuration table to the nodes beside
+// its upstreams and routes requests between them.
 package main
 
 import (
