--- a/cmd/walldrift/fleet_test.go
+++ b/cmd/walldrift/fleet_test.go
@@ -46,7 +46,7 @@
 	p := &processFleet{t: t, dir: t.TempDir(), commands: make(map[string]*exec.Cmd)}
 	var err error
 	p.plan, err = bench.WritePlan(bench.PlanConfig{
-		Dir: p.dir, BasePort: freePorts(t, 80), Placements: layout.Placements(), Table: layout.Table(), Extra: testSettings,
+		Dir: p.dir, BasePort: freePorts(t, 80), Placements: layout.Placements(), Table: layout.Table(), ExtraSettings: testSettings,
 	})
 	assert.NilError(t, err)
 	t.Cleanup(p.stopAll)
@@ -176,7 +176,7 @@
 	raw, err := io.ReadAll(resp.Body)
 	assert.NilError(p.t, err)
 	assert.NilError(p.t, resp.Body.Close())
-	next, err := table.Set(raw, table.Edit{Row: table.RowUpstream, Name: "tariff-1", Column: table.ColWeight, Value: fmt.Sprint(weight)})
+	next, err := table.ApplyEdits(raw, table.Edit{Row: table.RowUpstream, Name: "tariff-1", Column: table.ColWeight, Value: fmt.Sprint(weight)})
 	assert.NilError(p.t, err)
 	req, err := http.NewRequest(http.MethodPut, url, bytes.NewReader(next))
 	assert.NilError(p.t, err)
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -4,13 +4,13 @@
 
 import "github.com/walldrift/walldrift/internal/routing"
 
-// Paths of an admin address. PathSelf is the status of the node itself, PathFleet that of
+// Paths of an admin address. PathStatus is the status of the node itself, PathFleet that of
 // all nodes. PathExplain is followed by the name of a service.
 const (
 	PathHealth  = "/healthz"
 	PathReady   = "/readyz"
 	PathMetrics = "/metrics"
-	PathSelf    = "/status"
+	PathStatus  = "/status"
 	PathFleet   = "/fleet"
 	PathTable   = "/table"
 	PathExplain = "/explain/"
--- a/internal/admin/quarantine.go
+++ b/internal/admin/quarantine.go
@@ -10,16 +10,16 @@
 	PathRelease = "/quarantine/release/"
 )
 
-// HeldRequest is a quarantined request in a response of PathQuarantine.
-type HeldRequest struct {
+// QuarantinedRequest is a quarantined request in a response of PathQuarantine.
+type QuarantinedRequest struct {
 	Fingerprint string `json:"fingerprint"`
 	Service     string `json:"service"`
-	// Falls is the number of upstreams that crashed while running the request.
-	Falls int `json:"falls"`
+	// Crashes is the number of upstreams that crashed while running the request.
+	Crashes int `json:"falls"`
 	// SinceMs is the time for which the responding node has had the request in quarantine,
-	// TriedMs the time until its next probe, both in milliseconds.
-	SinceMs int64 `json:"since_ms"`
-	TriedMs int64 `json:"tried_again_ms"`
+	// ProbeInMs the time until its next probe, both in milliseconds.
+	SinceMs   int64 `json:"since_ms"`
+	ProbeInMs int64 `json:"tried_again_ms"`
 	// Refused counts the attempts that the responding node refused. The fields below are
 	// empty if it received no attempt.
 	Refused int64  `json:"refused"`
@@ -29,16 +29,16 @@
 	Tenant  string `json:"tenant,omitempty"`
 }
 
-// Quarantined returns the response of PathQuarantine.
-func Quarantined(requests []quarantine.QuarantinedRequest) []HeldRequest {
-	out := make([]HeldRequest, len(requests))
+// QuarantinedRequests returns the response of PathQuarantine.
+func QuarantinedRequests(requests []quarantine.QuarantinedRequest) []QuarantinedRequest {
+	out := make([]QuarantinedRequest, len(requests))
 	for i, r := range requests {
-		out[i] = HeldRequest{
+		out[i] = QuarantinedRequest{
 			Fingerprint: r.Request.String(),
 			Service:     r.Service,
-			Falls:       r.Crashes,
+			Crashes:     r.Crashes,
 			SinceMs:     r.HeldFor.Milliseconds(),
-			TriedMs:     r.RetryAfter.Milliseconds(),
+			ProbeInMs:   r.RetryAfter.Milliseconds(),
 			Refused:     r.Refused,
 			Method:      r.About.Method,
 			Host:        r.About.Host,
--- a/internal/admin/quota.go
+++ b/internal/admin/quota.go
@@ -9,10 +9,10 @@
 	Keys     int     `json:"keys"`             // number of API keys; the keys are not shown
 	Rate     float64 `json:"rate"`             // requests per second over the fleet; 0 for no limit
 	Burst    float64 `json:"burst"`            // requests beyond the rate at once
-	Home     string  `json:"home,omitempty"`   // owner of the token bucket; empty without a limit
+	Owner    string  `json:"home,omitempty"`   // owner of the token bucket; empty without a limit
 	Tokens   float64 `json:"tokens,omitempty"` // left in the bucket, if the responding node owns it
-	// Taken and Refused count requests that the responding node admitted and refused since
+	// Admitted and Refused count requests that the responding node admitted and refused since
 	// it last dropped the customer's state.
-	Taken   int64 `json:"taken"`
-	Refused int64 `json:"refused"`
+	Admitted int64 `json:"taken"`
+	Refused  int64 `json:"refused"`
 }
--- a/internal/admission/cold_rate_limit_test.go
+++ b/internal/admission/cold_rate_limit_test.go
@@ -73,7 +73,7 @@
 				fill()
 			},
 			"reopens": func(*rapid.T) {
-				at, waits := q.Reopens(now)
+				at, waits := q.ColdLimitOpensAt(now)
 				if !waits {
 					return
 				}
--- a/internal/admission/gate.go
+++ b/internal/admission/gate.go
@@ -110,7 +110,7 @@
 // cold upstream. The lock must be held.
 func (g *Gate) armColdTimer() {
 	now := clock.Now()
-	at, waits := g.queue.Reopens(now)
+	at, waits := g.queue.ColdLimitOpensAt(now)
 	if !waits || g.coldTimer != nil {
 		return
 	}
--- a/internal/bench/control.go
+++ b/internal/bench/control.go
@@ -23,11 +23,11 @@
 // ControlConfig configures a measurement of the control traffic of a fleet of running
 // processes.
 type ControlConfig struct {
-	Dir      string        // directory of the plan
-	Edits    int           // number of table edits; 0 measures the idle fleet
-	Interval time.Duration // between edits
-	Rest     time.Duration // duration of a measurement of the idle fleet
-	Settle   time.Duration // how long to wait until an edit is in force on every node
+	Dir           string        // directory of the plan
+	Edits         int           // number of table edits; 0 measures the idle fleet
+	Interval      time.Duration // between edits
+	IdleDuration  time.Duration // duration of a measurement of the idle fleet
+	SettleTimeout time.Duration // how long to wait until an edit is in force on every node
 }
 
 // ControlResult is the result of MeasureControl. Rates are means over the nodes and the
@@ -37,7 +37,7 @@
 	Nodes                  int     `json:"nodes"`
 	Edits                  int     `json:"edits"`
 	Seconds                float64 `json:"seconds"`
-	Missed                 int     `json:"missed"` // pairs of node and edit that weren't in force within Settle
+	Missed                 int     `json:"missed"` // pairs of node and edit that weren't in force within SettleTimeout
 	P50Ms                  float64 `json:"p50_ms"` // over pairs of node and edit
 	P99Ms                  float64 `json:"p99_ms"`
 	MaxMs                  float64 `json:"max_ms"`
@@ -65,7 +65,7 @@
 	result      ControlResult
 }
 
-// MeasureControl publishes cfg.Edits edits to a running fleet, or waits for cfg.Rest if
+// MeasureControl publishes cfg.Edits edits to a running fleet, or waits for cfg.IdleDuration if
 // there are none, and measures the propagation and the use of resources.
 func MeasureControl(ctx context.Context, cfg ControlConfig) (*ControlResult, error) {
 	plan, err := ReadPlan(cfg.Dir)
@@ -83,7 +83,7 @@
 	}
 	if cfg.Edits == 0 {
 		select {
-		case <-time.After(cfg.Rest):
+		case <-time.After(cfg.IdleDuration):
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		}
@@ -121,7 +121,7 @@
 	}
 	for i, n := range c.plan.Nodes {
 		var st selfStatus
-		if err := c.getJSON(ctx, "http://"+n.Admin+admin.PathSelf, &st); err != nil {
+		if err := c.getJSON(ctx, "http://"+n.Admin+admin.PathStatus, &st); err != nil {
 			return nil, errors.Wrap(err, n.Name)
 		}
 		pid, err := ReadPID(c.cfg.Dir, n.Name)
@@ -170,7 +170,7 @@
 		return err
 	}
 	target := c.plan.Nodes[i%len(c.plan.Nodes)].Name
-	next, err := table.Set(raw, table.Edit{Row: table.RowUpstream, Name: target, Column: table.ColWeight, Value: fmt.Sprintf("%d", 1+i%9)})
+	next, err := table.ApplyEdits(raw, table.Edit{Row: table.RowUpstream, Name: target, Column: table.ColWeight, Value: fmt.Sprintf("%d", 1+i%9)})
 	if err != nil {
 		return err
 	}
@@ -219,9 +219,9 @@
 const pollInterval = 20 * time.Millisecond
 
 func (c *controlMeasurement) awaitNode(ctx context.Context, n PlanNode, want string, published time.Time) (time.Duration, bool) {
-	for time.Since(published) < c.cfg.Settle && ctx.Err() == nil {
+	for time.Since(published) < c.cfg.SettleTimeout && ctx.Err() == nil {
 		var st selfStatus
-		err := c.getJSON(ctx, "http://"+n.Admin+admin.PathSelf, &st)
+		err := c.getJSON(ctx, "http://"+n.Admin+admin.PathStatus, &st)
 		if err == nil && st.Node.Table == want {
 			return time.UnixMicro(st.InForceSinceMicros).Sub(published), true
 		}
--- a/internal/bench/goodput.go
+++ b/internal/bench/goodput.go
@@ -29,12 +29,12 @@
 
 // GoodputConfig configures one goodput run.
 type GoodputConfig struct {
-	Policy   Policy
-	Scenario Scenario
-	Load     float64 // offered request rate as a fraction of capacity
-	For      time.Duration
-	Stretch  float64 // factor on the time of each request, so that one machine can run the load
-	Seed     uint64
+	Policy            Policy
+	Scenario          Scenario
+	LoadFraction      float64 // offered request rate as a fraction of capacity
+	Duration          time.Duration
+	ServiceTimeFactor float64 // factor on the time of each request, so that one machine can run the load
+	Seed              uint64
 }
 
 // KindResult is the result for one request kind.
@@ -85,8 +85,8 @@
 	capacity := 0.0
 	for i := range layout.Groups {
 		g := &layout.Groups[i]
-		g.Work = time.Duration(float64(g.Work) * cfg.Stretch)
-		capacity += float64(g.Targets*g.Slots) / g.Work.Seconds()
+		g.ServiceTime = time.Duration(float64(g.ServiceTime) * cfg.ServiceTimeFactor)
+		capacity += float64(g.Upstreams*g.Slots) / g.ServiceTime.Seconds()
 	}
 	f, err := fleet.StartReady(ctx, fleet.Config{Placements: layout.Placements(), Table: layout.Table(), Settings: goodputSettings})
 	if err != nil {
@@ -98,7 +98,7 @@
 	if err := run.findCallerURLs(); err != nil {
 		return nil, err
 	}
-	return run.measure(ctx, cfg.Load*capacity)
+	return run.measure(ctx, cfg.LoadFraction*capacity)
 }
 
 func goodputSettings(n *settings.Node) {
@@ -107,7 +107,7 @@
 	// idempotency key asks all other nodes of the service, dead ones too, before it
 	// runs a request.
 	n.LedgerSettle = 500 * time.Millisecond
-	n.DrainAnnounce = 500 * time.Millisecond
+	n.ShutdownAnnounce = 500 * time.Millisecond
 }
 
 type goodputRun struct {
@@ -164,7 +164,7 @@
 
 func (g *goodputRun) measure(ctx context.Context, rate float64) (*GoodputResult, error) {
 	load := NewLoad(LoadConfig{
-		Targets: g.callerURLs, Streams: capacityStreams(g.layout), Rate: rate, For: g.cfg.For,
+		Targets: g.callerURLs, Streams: capacityStreams(g.layout), Rate: rate, Duration: g.cfg.Duration,
 		Timeout: routeTimeout + 500*time.Millisecond, Seed: g.cfg.Seed, MaxInFlight: 20000, KeepIDs: true,
 	})
 	faultsDone := make(chan error, 1)
@@ -179,10 +179,10 @@
 // capacityStreams divides the load over kinds in proportion to the capacity of their
 // services, so that all services are saturated at the same rate.
 func capacityStreams(l standin.Layout) []Stream {
-	streams := StreamsOf(l)
+	streams := StreamsOfLayout(l)
 	total := 0.0
 	for i, g := range l.Groups {
-		streams[i].Share = float64(g.Targets*g.Slots) / g.Work.Seconds()
+		streams[i].Share = float64(g.Upstreams*g.Slots) / g.ServiceTime.Seconds()
 		total += streams[i].Share
 	}
 	for i := range streams {
@@ -232,7 +232,7 @@
 }
 
 func (g *goodputRun) summarise(load *Load, rate float64) *GoodputResult {
-	r := &GoodputResult{Policy: g.cfg.Policy, Scenario: g.cfg.Scenario, Load: g.cfg.Load, Rate: rate, Skipped: load.Skipped.Load()}
+	r := &GoodputResult{Policy: g.cfg.Policy, Scenario: g.cfg.Scenario, Load: g.cfg.LoadFraction, Rate: rate, Skipped: load.Skipped.Load()}
 	runs := make(map[string]int)
 	total := 0
 	for _, u := range g.fleet.Upstreams {
--- a/internal/bench/latency.go
+++ b/internal/bench/latency.go
@@ -14,10 +14,10 @@
 	Dir     string
 	Service string
 	Path    string
-	// Part is the fraction of the service's slots that the load occupies, 0 to 1.
-	Part   float64
-	Rounds int           // pairs of one direct and one mesh slice
-	Slice  time.Duration // duration of one slice
+	// LoadFraction is the fraction of the service's slots that the load occupies, 0 to 1.
+	LoadFraction float64
+	Rounds       int           // pairs of one direct and one mesh slice
+	Slice        time.Duration // duration of one slice
 }
 
 // LatencyResult holds the latencies of direct and mesh calls in milliseconds, and their
@@ -52,7 +52,7 @@
 			capacity += float64(n.Slots) / n.Work.Seconds()
 		}
 	}
-	r := &LatencyResult{Rate: cfg.Part * capacity}
+	r := &LatencyResult{Rate: cfg.LoadFraction * capacity}
 	directLatency, meshLatency := newHistogram(), newHistogram()
 	// Opens the connections first; their setup is not part of the comparison.
 	warmUpResult := &LatencyResult{}
@@ -83,7 +83,7 @@
 
 func (cfg LatencyConfig) measureSlice(ctx context.Context, targets []string, rate float64, seed uint64, into *hdrhistogram.Histogram, r *LatencyResult) {
 	l := NewLoad(LoadConfig{
-		Targets: targets, Rate: rate, For: cfg.Slice, Timeout: 2 * time.Second, Seed: seed,
+		Targets: targets, Rate: rate, Duration: cfg.Slice, Timeout: 2 * time.Second, Seed: seed,
 		Streams: []Stream{{Kind: cfg.Service, Method: http.MethodGet, Path: cfg.Path, Share: 1}},
 	})
 	l.Run(ctx)
--- a/internal/bench/leaving.go
+++ b/internal/bench/leaving.go
@@ -42,7 +42,7 @@
 	}
 	g := layout.Groups[0]
 	load := NewLoad(LoadConfig{
-		Targets: targets, Rate: leaveLoadRate, For: leaveLoadDuration, Timeout: routeTimeout, Seed: 1,
+		Targets: targets, Rate: leaveLoadRate, Duration: leaveLoadDuration, Timeout: routeTimeout, Seed: 1,
 		Streams: []Stream{{Kind: g.Kind, Weight: 1, Method: "GET", Path: g.Prefix + "/x", Share: 1}},
 	})
 	done := make(chan struct{})
--- a/internal/bench/load.go
+++ b/internal/bench/load.go
@@ -35,12 +35,12 @@
 // LoadConfig configures an open-loop load: requests start on schedule, whether or not
 // earlier ones have ended.
 type LoadConfig struct {
-	Targets []string // base URLs, used in turn
-	Streams []Stream
-	Rate    float64       // requests per second
-	For     time.Duration // duration; 0 runs until the context ends
-	Timeout time.Duration // of one request
-	Seed    uint64
+	Targets  []string // base URLs, used in turn
+	Streams  []Stream
+	Rate     float64       // requests per second
+	Duration time.Duration // duration; 0 runs until the context ends
+	Timeout  time.Duration // of one request
+	Seed     uint64
 	// KeepIDs records the IDs of requests, so that their runs can be counted later.
 	KeepIDs bool
 	// MaxInFlight bounds the requests in flight; a request beyond it isn't sent but
@@ -109,7 +109,7 @@
 	for i := 0; ctx.Err() == nil; i++ {
 		// A Poisson process: exponential times between arrivals.
 		arrival += time.Duration(rnd.ExpFloat64() / l.cfg.Rate * float64(time.Second))
-		if l.cfg.For > 0 && arrival > l.cfg.For {
+		if l.cfg.Duration > 0 && arrival > l.cfg.Duration {
 			break
 		}
 		if d := time.Until(start.Add(arrival)); d > 0 {
@@ -158,7 +158,7 @@
 		req.Header["idempotency-key"] = []string{id}
 	}
 	if s.Work > 0 {
-		req.Header.Set(standin.HeaderWork, strconv.FormatInt(s.Work.Milliseconds(), 10))
+		req.Header.Set(standin.HeaderServiceTime, strconv.FormatInt(s.Work.Milliseconds(), 10))
 	}
 	start := time.Now()
 	end := l.roundTrip(req, id)
@@ -286,16 +286,16 @@
 	return out
 }
 
-// StreamsOf returns one stream for each service of a layout, with shares in proportion
+// StreamsOfLayout returns one stream for each service of a layout, with shares in proportion
 // to their targets.
-func StreamsOf(l standin.Layout) []Stream {
+func StreamsOfLayout(l standin.Layout) []Stream {
 	total := 0
 	for _, g := range l.Groups {
-		total += g.Targets
+		total += g.Upstreams
 	}
 	var out []Stream
 	for _, g := range l.Groups {
-		s := Stream{Kind: g.Kind, Weight: g.KindWeight, Method: http.MethodGet, Path: g.Prefix + "/x", Share: float64(g.Targets) / float64(total)}
+		s := Stream{Kind: g.Kind, Weight: g.KindWeight, Method: http.MethodGet, Path: g.Prefix + "/x", Share: float64(g.Upstreams) / float64(total)}
 		if !g.Idempotent {
 			s.Method, s.SendsKey, s.Body = http.MethodPost, true, 512
 		}
--- a/internal/bench/plan.go
+++ b/internal/bench/plan.go
@@ -51,8 +51,8 @@
 	BasePort   int
 	Placements []standin.Placement
 	Table      []byte
-	// Extra is INI text that is appended to the settings of every node.
-	Extra string
+	// ExtraSettings is INI text that is appended to the settings of every node.
+	ExtraSettings string
 }
 
 // WritePlan writes the plan, table, instance list, certificates and settings files of a
@@ -69,7 +69,7 @@
 		n := PlanNode{
 			Name: p.Name, Service: p.Service, DataCentre: p.DataCentre,
 			Callers: loopback(port), Admin: loopback(port + 1), Upstream: loopback(port + 2),
-			Slots: max(p.Group.Slots, 1), Work: p.Group.Work,
+			Slots: max(p.Group.Slots, 1), Work: p.Group.ServiceTime,
 			Settings: filepath.Join(cfg.Dir, settingsDir, p.Name+".ini"),
 		}
 		peers[p.Name] = netip.MustParseAddrPort(loopback(port + 3))
@@ -116,7 +116,7 @@
 		"[tls]", "certificate = " + peer.CertFile(keys, n.Name), "key = " + peer.KeyFile(keys, n.Name),
 		"authority = " + filepath.Join(keys, peer.AuthorityFile),
 		"[log]", "format = json",
-		cfg.Extra, "",
+		cfg.ExtraSettings, "",
 	}
 	return strings.Join(lines, "\n")
 }
--- a/internal/cli/bench.go
+++ b/internal/cli/bench.go
@@ -54,7 +54,7 @@
 			if err != nil {
 				return err
 			}
-			cfg := bench.PlanConfig{Dir: abs, BasePort: *port, Extra: iniText(*overrides)}
+			cfg := bench.PlanConfig{Dir: abs, BasePort: *port, ExtraSettings: iniText(*overrides)}
 			switch *layout {
 			case "kerbline":
 				cfg.Placements, cfg.Table = standin.Kerbline().Placements(), standin.Kerbline().Table()
@@ -103,7 +103,7 @@
 			errs := make(chan error, len(plan.Nodes))
 			var group sync.WaitGroup
 			for _, n := range plan.Nodes {
-				u := standin.NewUpstream(standin.UpstreamConfig{Name: n.Name, Slots: n.Slots, Work: n.Work})
+				u := standin.NewUpstream(standin.UpstreamConfig{Name: n.Name, Slots: n.Slots, ServiceTime: n.Work})
 				group.Go(func() {
 					if err := standin.Serve(ctx, n.Upstream, u, func(string) {}); err != nil {
 						errs <- err
@@ -136,7 +136,7 @@
 		ShortHelp: "measure convergence time, control bytes, CPU, memory and platform reads",
 		Flags:     fs,
 		Exec: func(ctx context.Context, _ []string) error {
-			r, err := bench.MeasureControl(ctx, bench.ControlConfig{Dir: *dir, Edits: *edits, Interval: *interval, Rest: *rest, Settle: *settle})
+			r, err := bench.MeasureControl(ctx, bench.ControlConfig{Dir: *dir, Edits: *edits, Interval: *interval, IdleDuration: *rest, SettleTimeout: *settle})
 			if err != nil {
 				return err
 			}
@@ -159,7 +159,7 @@
 		ShortHelp: "compare the latency of calls through the fleet with direct calls, alternately",
 		Flags:     fs,
 		Exec: func(ctx context.Context, _ []string) error {
-			r, err := bench.MeasureLatency(ctx, bench.LatencyConfig{Dir: *dir, Service: *service, Path: *path, Part: *utilization, Rounds: *rounds, Slice: *slice})
+			r, err := bench.MeasureLatency(ctx, bench.LatencyConfig{Dir: *dir, Service: *service, Path: *path, LoadFraction: *utilization, Rounds: *rounds, Slice: *slice})
 			if err != nil {
 				return err
 			}
@@ -185,7 +185,7 @@
 		Exec: func(ctx context.Context, _ []string) error {
 			r, err := bench.MeasureGoodput(ctx, bench.GoodputConfig{
 				Policy: bench.Policy(*policy), Scenario: bench.Scenario(*scenario),
-				Load: *load, For: *duration, Stretch: *stretch, Seed: *seed,
+				LoadFraction: *load, Duration: *duration, ServiceTimeFactor: *stretch, Seed: *seed,
 			})
 			if err != nil {
 				return err
--- a/internal/cli/quarantine.go
+++ b/internal/cli/quarantine.go
@@ -43,23 +43,23 @@
 	return nil
 }
 
-func readQuarantine(raw []byte) (rows []admin.HeldRequest, err error) {
+func readQuarantine(raw []byte) (rows []admin.QuarantinedRequest, err error) {
 	return rows, errors.Wrap(json.Unmarshal(raw, &rows), "quarantine")
 }
 
-func writeQuarantine(w io.Writer, rows []admin.HeldRequest) {
+func writeQuarantine(w io.Writer, rows []admin.QuarantinedRequest) {
 	tw := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintln(tw, "HELD BACK\tSERVICE\tUPSTREAMS ENDED\tFOR\tTRIED AGAIN IN\tREFUSED HERE\tCUSTOMER\tREQUEST")
 	for _, r := range rows {
-		_, _ = fmt.Fprintf(tw, "%s\t%s\t%d\t%s\t%s\t%d\t%s\t%s\n", r.Fingerprint, r.Service, r.Falls,
-			time.Duration(r.SinceMs)*time.Millisecond, time.Duration(r.TriedMs)*time.Millisecond, r.Refused, dash(r.Tenant), dash(requestLine(r)))
+		_, _ = fmt.Fprintf(tw, "%s\t%s\t%d\t%s\t%s\t%d\t%s\t%s\n", r.Fingerprint, r.Service, r.Crashes,
+			time.Duration(r.SinceMs)*time.Millisecond, time.Duration(r.ProbeInMs)*time.Millisecond, r.Refused, dash(r.Tenant), dash(requestLine(r)))
 	}
 	_ = tw.Flush()
 }
 
 // requestLine returns the method, host and target of a request. It is empty if the queried
 // node received no attempt of the request.
-func requestLine(r admin.HeldRequest) string {
+func requestLine(r admin.QuarantinedRequest) string {
 	if r.Method == "" {
 		return ""
 	}
--- a/internal/cli/quotas.go
+++ b/internal/cli/quotas.go
@@ -43,7 +43,7 @@
 		if r.Tokens != 0 {
 			tokens = strconv.FormatFloat(r.Tokens, 'f', 0, 64)
 		}
-		_, _ = fmt.Fprintf(tw, "%s\t%d\t%s\t%g\t%s\t%s\t%d\t%d\n", r.Customer, r.Keys, rate, r.Burst, dash(r.Home), tokens, r.Taken, r.Refused)
+		_, _ = fmt.Fprintf(tw, "%s\t%d\t%s\t%g\t%s\t%s\t%d\t%d\n", r.Customer, r.Keys, rate, r.Burst, dash(r.Owner), tokens, r.Admitted, r.Refused)
 	}
 	return tw.Flush()
 }
--- a/internal/cli/standin.go
+++ b/internal/cli/standin.go
@@ -92,7 +92,7 @@
 			if *slots <= 0 {
 				return usagef("--slots must be positive")
 			}
-			u := standin.NewUpstream(standin.UpstreamConfig{Name: *name, Slots: *slots, Work: *work, Lie: *lie})
+			u := standin.NewUpstream(standin.UpstreamConfig{Name: *name, Slots: *slots, ServiceTime: *work, ReportIdle: *lie})
 			return standin.Serve(ctx, *addr, u, printAddress(out))
 		},
 	}
--- a/internal/cli/status.go
+++ b/internal/cli/status.go
@@ -167,7 +167,7 @@
 	if err != nil {
 		return err
 	}
-	rows = slices.DeleteFunc(rows, func(r admin.HeldRequest) bool { return r.Service != service })
+	rows = slices.DeleteFunc(rows, func(r admin.QuarantinedRequest) bool { return r.Service != service })
 	if len(rows) > 0 {
 		writeQuarantine(out.Out, rows)
 	}
--- a/internal/cli/table.go
+++ b/internal/cli/table.go
@@ -97,7 +97,7 @@
 			if err != nil {
 				return err
 			}
-			next, err := table.Set(raw[0], edits...)
+			next, err := table.ApplyEdits(raw[0], edits...)
 			if err != nil {
 				return err
 			}
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -7,7 +7,7 @@
 // of the suspension, reports the wrong value to its peers, and runs requests whose callers
 // have disconnected. Ages, deadlines and windows that may span a suspension are therefore
 // computed with the times of this package. Timers, contexts and connection deadlines follow
-// the monotonic clock; Until and Steady convert to it.
+// the monotonic clock; Until and ToMonotonic convert to it.
 package clock
 
 import (
@@ -19,7 +19,7 @@
 )
 
 // suspended and advanced are the parts of the time that the monotonic clock has not counted,
-// in nanoseconds: as reported by the system, and added by Advance.
+// in nanoseconds: as reported by the system, and added by SimulateSuspension.
 var suspended, advanced atomic.Int64
 
 // suspendedTime returns the time that the monotonic clock has not counted since the process
@@ -36,9 +36,9 @@
 // Until returns the duration until t, which must come from this package.
 func Until(t time.Time) time.Duration { return t.Sub(Now()) }
 
-// Steady converts t, which must come from this package, to the time of the monotonic clock at
+// ToMonotonic converts t, which must come from this package, to the time of the monotonic clock at
 // which t is reached if the machine is not suspended again. The zero time stays zero.
-func Steady(t time.Time) time.Time {
+func ToMonotonic(t time.Time) time.Time {
 	if t.IsZero() {
 		return t
 	}
@@ -48,11 +48,11 @@
 // WithDeadline is context.WithDeadline for a deadline that comes from this package. A later
 // suspension does not bring the end of the context forward.
 func WithDeadline(ctx context.Context, at time.Time) (context.Context, context.CancelFunc) {
-	return context.WithDeadline(ctx, Steady(at))
+	return context.WithDeadline(ctx, ToMonotonic(at))
 }
 
-// Advance simulates a suspension of length d, for tests. A negative d takes one back.
-func Advance(d time.Duration) { advanced.Add(int64(d)) }
+// SimulateSuspension simulates a suspension of length d, for tests. A negative d takes one back.
+func SimulateSuspension(d time.Duration) { advanced.Add(int64(d)) }
 
 const (
 	// checkInterval is the interval at which Watch checks for a suspension. For up to this
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -11,8 +11,8 @@
 
 // suspend simulates a suspension of the machine and takes it back when the test ends.
 func suspend(t *testing.T, d time.Duration) {
-	Advance(d)
-	t.Cleanup(func() { Advance(-d) })
+	SimulateSuspension(d)
+	t.Cleanup(func() { SimulateSuspension(-d) })
 }
 
 func TestSuspensionIsCounted(t *testing.T) {
@@ -28,8 +28,8 @@
 		defer cancel()
 		<-ctx.Done()
 		assert.Equal(t, time.Since(monotonicStart), time.Second)
-		assert.Equal(t, Steady(expires), time.Now())
-		assert.Assert(t, Steady(time.Time{}).IsZero())
+		assert.Equal(t, ToMonotonic(expires), time.Now())
+		assert.Assert(t, ToMonotonic(time.Time{}).IsZero())
 	})
 }
 
--- a/internal/console/demo.go
+++ b/internal/console/demo.go
@@ -93,7 +93,7 @@
 	for _, n := range d.fleet.Nodes() {
 		targets = append(targets, fleet.CallerURL(n))
 	}
-	d.load = bench.NewLoad(bench.LoadConfig{Targets: targets, Streams: bench.StreamsOf(d.cfg.Layout), Rate: d.cfg.Rate, Timeout: requestTimeout, Seed: 1})
+	d.load = bench.NewLoad(bench.LoadConfig{Targets: targets, Streams: bench.StreamsOfLayout(d.cfg.Layout), Rate: d.cfg.Rate, Timeout: requestTimeout, Seed: 1})
 	srv := &http.Server{Handler: d.handler(), ReadHeaderTimeout: requestTimeout}
 	var group sync.WaitGroup
 	loadCtx, stopLoad := context.WithCancel(ctx)
@@ -140,7 +140,7 @@
 	if err != nil {
 		return err
 	}
-	nodes, err := d.fleet.Nodes()[0].Survey(c.Request().Context())
+	nodes, err := d.fleet.Nodes()[0].QueryStatus(c.Request().Context())
 	if err != nil {
 		return echo.NewHTTPError(http.StatusServiceUnavailable, err.Error())
 	}
@@ -170,7 +170,7 @@
 	}
 	cell := fmt.Sprintf("%s %s %s = %q", edit.Row, edit.Name, edit.Column, edit.Value)
 	old, _ := d.fleet.Platform.Get(platform.KeyTable)
-	next, err := table.Set(old.Raw, table.Edit{Row: edit.Row, Name: edit.Name, Column: edit.Column, Value: edit.Value})
+	next, err := table.ApplyEdits(old.Raw, table.Edit{Row: edit.Row, Name: edit.Name, Column: edit.Column, Value: edit.Value})
 	if err != nil {
 		return d.rejectEdit(c, http.StatusBadRequest, editResult{Cell: cell, Error: err.Error()})
 	}
--- a/internal/discovery/follower.go
+++ b/internal/discovery/follower.go
@@ -45,12 +45,12 @@
 	services         map[string]bool // services named by document; nil before there is one
 	previousDocument *Document       // the table before document, while document may still be reverted
 	loggedFindings   findingLog
-	documentSince    time.Time   // when document was received
-	documentFrom     string      // SourceStore or the node that sent document
-	deflatedDocument []byte      // document as sent to other nodes; nil until one requests it
-	links            links       // link rates of nodes
-	lastPeerRequest  time.Time   // when a node last sent a peer request
-	tableSteps       table.Steps // the patches that led to document
+	documentSince    time.Time         // when document was received
+	documentFrom     string            // SourceStore or the node that sent document
+	deflatedDocument []byte            // document as sent to other nodes; nil until one requests it
+	links            links             // link rates of nodes
+	lastPeerRequest  time.Time         // when a node last sent a peer request
+	tableSteps       table.RecentSteps // the patches that led to document
 	// patches are the encoded patches to document, by base version.
 	patches             map[version.ID][]byte
 	listed              bool      // the store was listed, and changes since then can be watched
@@ -83,7 +83,7 @@
 		onChange:   onChange,
 		runID:      rand.Uint64(),
 		updated:    make(chan struct{}),
-		tableSteps: table.Steps{MaxSteps: maxPatchSteps, MaxBytes: maxPatchStepBytes},
+		tableSteps: table.RecentSteps{MaxSteps: maxPatchSteps, MaxBytes: maxPatchStepBytes},
 		reader:     true, // until the first listing shows the other nodes
 	}
 	f.dir.Store(&Directory{members: immutable.New[string, membership.Member](nil), byAddress: immutable.New[netip.AddrPort, KnownUpstream](nil)})
--- a/internal/discovery/patch.go
+++ b/internal/discovery/patch.go
@@ -31,7 +31,7 @@
 	for _, s := range steps {
 		all = append(all, s.Splices...)
 	}
-	return all, len(steps) > 0 && table.SpliceBytes(all) <= len(f.document.Raw)/patchSizeDivisor
+	return all, len(steps) > 0 && table.EncodedSpliceSize(all) <= len(f.document.Raw)/patchSizeDivisor
 }
 
 // patch returns the encoded patch from another version to the table in force; nil if the
@@ -71,7 +71,7 @@
 	if err := cbor.Unmarshal(raw, &splices); err != nil {
 		return nil, errors.Wrap(err, "table patch")
 	}
-	next, err := table.Apply(base.Raw, splices)
+	next, err := table.ApplySplices(base.Raw, splices)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/discovery/peers.go
+++ b/internal/discovery/peers.go
@@ -27,7 +27,7 @@
 // Ask implements Peers.
 func (p PeerClient) Ask(ctx context.Context, node netip.AddrPort, req PeerRequest) (PeerUpdate, error) {
 	var update PeerUpdate
-	err := peerhttp.Ask(ctx, p.Transport, node, HeaderPeerUpdate, req, &update, maxPeerMessageBytes)
+	err := peerhttp.Call(ctx, p.Transport, node, HeaderPeerUpdate, req, &update, maxPeerMessageBytes)
 	return update, errors.Wrapf(err, "peer update of %s", node)
 }
 
@@ -35,7 +35,7 @@
 func PeerUpdateHandler(f *Follower) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		var req PeerRequest
-		if err := peerhttp.Read(r.Body, &req, maxPeerMessageBytes); err != nil {
+		if err := peerhttp.Decode(r.Body, &req, maxPeerMessageBytes); err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
@@ -44,7 +44,7 @@
 			http.Error(w, err.Error(), http.StatusServiceUnavailable)
 			return
 		}
-		if err := peerhttp.Answer(w, update); err != nil {
+		if err := peerhttp.Respond(w, update); err != nil {
 			f.log.Error("news not told", "err", err)
 		}
 	})
--- a/internal/discovery/store_response.go
+++ b/internal/discovery/store_response.go
@@ -81,10 +81,10 @@
 // held.
 func (f *Follower) recordTableStep(next *Document) {
 	if f.document == nil || clock.Since(f.lastPeerRequest) > recentPeerRequest {
-		f.tableSteps.Forget()
+		f.tableSteps.Clear()
 		return
 	}
-	f.tableSteps.Add(table.Step{From: f.document.ID, To: next.ID, Splices: table.Between(f.document.Raw, next.Raw)})
+	f.tableSteps.Add(table.Step{From: f.document.ID, To: next.ID, Splices: table.ComputeSplices(f.document.Raw, next.Raw)})
 }
 
 // useDocument makes a table the one from which snapshots are built. The lock is held.
@@ -101,7 +101,7 @@
 	f.logFindings([]Finding{{Entry: "table " + f.document.ID.String(), Err: err}})
 	previous := f.previousDocument
 	f.previousDocument = nil
-	f.tableSteps.Forget()
+	f.tableSteps.Clear()
 	if previous == nil {
 		f.document, f.services, f.deflatedDocument = nil, nil, nil
 		return false
--- a/internal/discovery/table_bench_test.go
+++ b/internal/discovery/table_bench_test.go
@@ -34,7 +34,7 @@
 		b.Run(fmt.Sprintf("build/%d", n), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				_, err := snapshot.NewLayout(d.Table, d.ID, d.Raw)
+				_, err := snapshot.NewIndexedTable(d.Table, d.ID, d.Raw)
 				assert.NilError(b, err)
 			}
 		})
@@ -56,7 +56,7 @@
 			}
 		})
 		b.Run(fmt.Sprintf("match/%d", n), func(b *testing.B) {
-			s, err := snapshot.NewLayout(d.Table, d.ID, d.Raw)
+			s, err := snapshot.NewIndexedTable(d.Table, d.ID, d.Raw)
 			assert.NilError(b, err)
 			var r *snapshot.Route
 			for b.Loop() {
--- a/internal/discovery/table_test.go
+++ b/internal/discovery/table_test.go
@@ -14,7 +14,7 @@
 	const routes = 3000
 	d := documentOf(1, routes)
 	allocations := testing.AllocsPerRun(3, func() {
-		l, err := snapshot.NewLayout(d.Table, d.ID, d.Raw)
+		l, err := snapshot.NewIndexedTable(d.Table, d.ID, d.Raw)
 		assert.NilError(t, err)
 		assert.Equal(t, len(l.Routes()), routes)
 	})
--- a/internal/discovery/views.go
+++ b/internal/discovery/views.go
@@ -18,7 +18,7 @@
 // each node sees all these changes. With a rebuild for each, the total cost would grow
 // with the square of the fleet.
 type views struct {
-	layout *snapshot.Layout
+	layout *snapshot.IndexedTable
 	groups map[string]*snapshot.Service
 	roster *membership.Roster
 
@@ -106,7 +106,7 @@
 	next := maps.Clone(f.views.groups)
 	for name, group := range next {
 		if len(set[name])+len(gone[name]) > 0 {
-			next[name] = group.Change(set[name], gone[name])
+			next[name] = group.WithChanges(set[name], gone[name])
 		}
 	}
 	f.views.groups = next
@@ -120,7 +120,7 @@
 	}
 	f.builds++
 	if f.views.document != f.document {
-		layout, err := snapshot.NewLayout(f.document.Table, f.document.ID, f.document.Raw)
+		layout, err := snapshot.NewIndexedTable(f.document.Table, f.document.ID, f.document.Raw)
 		if err != nil {
 			return err
 		}
--- a/internal/distribution/links.go
+++ b/internal/distribution/links.go
@@ -106,7 +106,7 @@
 		key := slot.Candidates[0]
 		st, ok := ls.slots[key]
 		if !ok {
-			st = &slotState{backoff: platform.Backoff{Base: dialBackoffBase, Cap: dialBackoffMax}}
+			st = &slotState{backoff: platform.Backoff{Base: dialBackoffBase, Max: dialBackoffMax}}
 			// Nodes that start together spread their first handshakes.
 			st.nextDial = now.Add(time.Duration(ls.service.rnd.Int64N(int64(dialBackoffBase))))
 		}
--- a/internal/distribution/message.go
+++ b/internal/distribution/message.go
@@ -116,9 +116,9 @@
 	// Evacuated lists the data centres whose upstreams get no requests, as far as the
 	// node knows.
 	Evacuated []EvacuatedCentre `cbor:"14,keyasint,omitempty" json:"evacuated,omitempty"`
-	// HeldBack is the number of requests that the node quarantines because upstreams
+	// Quarantined is the number of requests that the node quarantines because upstreams
 	// crashed under them.
-	HeldBack int `cbor:"15,keyasint,omitempty" json:"held_back,omitempty"`
+	Quarantined int `cbor:"15,keyasint,omitempty" json:"held_back,omitempty"`
 }
 
 // EvacuatedCentre is a data centre whose upstreams get no requests.
--- a/internal/distribution/reader.go
+++ b/internal/distribution/reader.go
@@ -25,7 +25,7 @@
 // random time within ReadSpread.
 func (s *Service) readPlatform(ctx context.Context, doc Doc, key string) {
 	rnd := rand.New(rand.NewPCG(s.cfg.Self.Generation, uint64(doc)+1))
-	backoff := platform.Backoff{Base: readBackoffBase, Cap: readBackoffMax}
+	backoff := platform.Backoff{Base: readBackoffBase, Max: readBackoffMax}
 	if !s.awaitFirstRead(ctx, doc, rnd) {
 		return
 	}
--- a/internal/distribution/replica.go
+++ b/internal/distribution/replica.go
@@ -49,7 +49,7 @@
 	compressed   []byte // raw compressed, created when first needed
 	since        time.Time
 	from         string
-	deltas       table.Steps           // kept for neighbours that are behind
+	deltas       table.RecentSteps     // kept for neighbours that are behind
 	peerVersions map[string]version.ID // the version each neighbour is known to hold
 	refusals     []Refusal
 	wantSent     time.Time // when the last Want was sent; zero if none is outstanding
@@ -60,7 +60,7 @@
 	return &replica{
 		doc:          doc,
 		check:        check,
-		deltas:       table.Steps{MaxSteps: maxDeltas, MaxBytes: maxDeltaBytes},
+		deltas:       table.RecentSteps{MaxSteps: maxDeltas, MaxBytes: maxDeltaBytes},
 		peerVersions: make(map[string]version.ID),
 	}
 }
@@ -83,7 +83,7 @@
 
 func (r *replica) advance(now time.Time, from string, id version.ID, raw []byte) {
 	if !r.held.IsZero() {
-		r.deltas.Add(table.Step{From: r.held, To: id, Splices: table.Between(r.raw, raw)})
+		r.deltas.Add(table.Step{From: r.held, To: id, Splices: table.ComputeSplices(r.raw, raw)})
 	}
 	r.held, r.raw, r.compressed = id, raw, nil
 	r.since, r.from = now, from
@@ -149,7 +149,7 @@
 	if u.From != r.held {
 		return nil, nil
 	}
-	return table.Apply(r.raw, u.Splices)
+	return table.ApplySplices(r.raw, u.Splices)
 }
 
 // verifyDigest compares a decoded document with its announced version before it is
@@ -230,7 +230,7 @@
 	}
 	size := 0
 	for _, u := range deltas {
-		size += table.SpliceBytes(u.Splices)
+		size += table.EncodedSpliceSize(u.Splices)
 	}
 	if size > maxPushedDelta {
 		return nil, true
--- a/internal/fleet/faults_test.go
+++ b/internal/fleet/faults_test.go
@@ -27,10 +27,10 @@
 	for _, via := range []string{"look-1", "pay-1"} { // through a peer and through the node that shuts down
 		go func() {
 			slowBody := io.MultiReader(bytes.NewReader(upload[:1000]), &pausedReader{wait: 300 * time.Millisecond}, bytes.NewReader(upload))
-			results <- send(t, f, via, "POST", "/pay/x", map[string]string{standin.HeaderWork: "300"}, slowBody)
+			results <- send(t, f, via, "POST", "/pay/x", map[string]string{standin.HeaderServiceTime: "300"}, slowBody)
 		}()
 		go func() {
-			results <- send(t, f, via, "GET", "/look/x", map[string]string{standin.HeaderWork: "500"}, nil)
+			results <- send(t, f, via, "GET", "/look/x", map[string]string{standin.HeaderServiceTime: "500"}, nil)
 		}()
 	}
 	time.Sleep(150 * time.Millisecond)
@@ -78,7 +78,7 @@
 		}
 	}})
 	f.Network.SetPartition("dc-1", "dc-2", true)
-	next, err := table.Set(smallLayout().Table(), table.Edit{Row: table.RowUpstream, Name: "pay-1", Column: table.ColWeight, Value: "3"})
+	next, err := table.ApplyEdits(smallLayout().Table(), table.Edit{Row: table.RowUpstream, Name: "pay-1", Column: table.ColWeight, Value: "3"})
 	assert.NilError(t, err)
 	f.Platform.Put(platform.KeyTable, next)
 	served := map[string]int{}
@@ -104,7 +104,7 @@
 	raw := smallLayout().Table()
 	for i := range 5 {
 		var err error
-		raw, err = table.Set(raw, table.Edit{Row: table.RowUpstream, Name: "pay-1", Column: table.ColWeight, Value: fmt.Sprint(2 + i)})
+		raw, err = table.ApplyEdits(raw, table.Edit{Row: table.RowUpstream, Name: "pay-1", Column: table.ColWeight, Value: fmt.Sprint(2 + i)})
 		assert.NilError(t, err)
 		f.Platform.Put(platform.KeyTable, raw)
 		awaitTable(t, f, raw)
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -130,7 +130,7 @@
 }
 
 func (f *Fleet) addUpstream(p standin.Placement) error {
-	u := standin.NewUpstream(standin.UpstreamConfig{Name: p.Name, Slots: max(p.Group.Slots, 1), Work: p.Group.Work})
+	u := standin.NewUpstream(standin.UpstreamConfig{Name: p.Name, Slots: max(p.Group.Slots, 1), ServiceTime: p.Group.ServiceTime})
 	f.Upstreams[p.Name] = u
 	var handler http.Handler = u
 	if f.cfg.Upstream != nil {
@@ -189,7 +189,7 @@
 	return nil
 }
 
-func (f *Fleet) socketWrapper(p standin.Placement) peer.Wrap {
+func (f *Fleet) socketWrapper(p standin.Placement) peer.SocketWrapper {
 	if !f.cfg.InjectFaults {
 		return nil
 	}
@@ -211,7 +211,7 @@
 		return nil, err
 	}
 	cfg.ReadSpread = 100 * time.Millisecond
-	cfg.DrainAnnounce = 200 * time.Millisecond
+	cfg.ShutdownAnnounce = 200 * time.Millisecond
 	if f.cfg.Settings != nil {
 		f.cfg.Settings(cfg)
 	}
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -28,17 +28,17 @@
 // smallLayout has two upstreams each for payments and lookups.
 func smallLayout() standin.Layout {
 	return standin.Layout{
-		Name: "small", Region: "r", Centres: []string{"dc-1", "dc-2"},
+		Name: "small", Region: "r", DataCentres: []string{"dc-1", "dc-2"},
 		Groups: []standin.Group{
-			{Service: "pay", Targets: 2, Slots: 2, Work: time.Millisecond, Kind: "payment", KindWeight: 5, Prefix: "/pay"},
-			{Service: "look", Targets: 2, Slots: 2, Work: time.Millisecond, Kind: "lookup", KindWeight: 1, Prefix: "/look", Idempotent: true},
+			{Service: "pay", Upstreams: 2, Slots: 2, ServiceTime: time.Millisecond, Kind: "payment", KindWeight: 5, Prefix: "/pay"},
+			{Service: "look", Upstreams: 2, Slots: 2, ServiceTime: time.Millisecond, Kind: "lookup", KindWeight: 1, Prefix: "/look", Idempotent: true},
 		},
 	}
 }
 
 func fastSettings(n *settings.Node) {
 	n.LedgerSkew = time.Millisecond
-	n.DrainAnnounce = 50 * time.Millisecond
+	n.ShutdownAnnounce = 50 * time.Millisecond
 }
 
 // startSmall starts the small fleet and waits until it is ready.
@@ -105,20 +105,20 @@
 func TestValidEditReachesAllNodesInvalidNone(t *testing.T) {
 	f := startSmall(t, Config{})
 	raw := smallLayout().Table()
-	next, err := table.Set(raw, table.Edit{Row: table.RowUpstream, Name: "pay-1", Column: table.ColWeight, Value: "3"})
+	next, err := table.ApplyEdits(raw, table.Edit{Row: table.RowUpstream, Name: "pay-1", Column: table.ColWeight, Value: "3"})
 	assert.NilError(t, err)
 	f.Platform.Put(platform.KeyTable, next)
 	awaitTable(t, f, next)
-	invalid, err := table.Set(next, table.Edit{Row: table.RowRoute, Name: "pay", Column: table.ColService, Value: "nowhere"})
+	invalid, err := table.ApplyEdits(next, table.Edit{Row: table.RowRoute, Name: "pay", Column: table.ColService, Value: "nowhere"})
 	assert.NilError(t, err)
 	f.Platform.Put(platform.KeyTable, invalid)
-	corrected, err := table.Set(invalid, table.Edit{Row: table.RowRoute, Name: "pay", Column: table.ColService, Value: "pay"})
+	corrected, err := table.ApplyEdits(invalid, table.Edit{Row: table.RowRoute, Name: "pay", Column: table.ColService, Value: "pay"})
 	assert.NilError(t, err)
 	f.Platform.Put(platform.KeyTable, corrected)
 	awaitTable(t, f, corrected)
 	// An operator publishes an older copy again, for example from a backup.
 	f.Platform.Put(platform.KeyTable, raw)
-	last, err := table.Set(corrected, table.Edit{Row: table.RowUpstream, Name: "pay-2", Column: table.ColWeight, Value: "2"})
+	last, err := table.ApplyEdits(corrected, table.Edit{Row: table.RowUpstream, Name: "pay-2", Column: table.ColWeight, Value: "2"})
 	assert.NilError(t, err)
 	for _, n := range f.Nodes() {
 		assert.Equal(t, n.Table().Edition, uint64(4))
@@ -133,7 +133,7 @@
 	sum := sha256.Sum256(upload)
 	for _, n := range []string{"pay-1", "look-2"} {
 		id := newKey()
-		r := send(t, f, n, http.MethodPost, "/pay/x", map[string]string{standin.HeaderRequestID: id, standin.HeaderAnswer: "2000000"}, bytes.NewReader(upload))
+		r := send(t, f, n, http.MethodPost, "/pay/x", map[string]string{standin.HeaderRequestID: id, standin.HeaderResponseBytes: "2000000"}, bytes.NewReader(upload))
 		assert.NilError(t, r.err)
 		e := r.echo(t)
 		assert.Equal(t, e.RequestID, id)
@@ -217,7 +217,7 @@
 
 func TestUpstreamCannotSpeakForANode(t *testing.T) {
 	f := startSmall(t, Config{})
-	r := send(t, f, "pay-1", "GET", "/look/x", map[string]string{standin.HeaderPretend: string(proxy.OutcomeNotRun)}, nil)
+	r := send(t, f, "pay-1", "GET", "/look/x", map[string]string{standin.HeaderForgedOutcome: string(proxy.OutcomeNotRun)}, nil)
 	assert.Equal(t, r.status, http.StatusOK)
 	assert.Equal(t, r.header.Get(proxy.HeaderOutcome), "")
 }
@@ -303,7 +303,7 @@
 	for range 60 {
 		group.Go(func() {
 			id := newKey()
-			r := send(t, f, "look-1", "POST", "/pay/x", map[string]string{standin.HeaderRequestID: id, standin.HeaderWork: "200"}, strings.NewReader("x"))
+			r := send(t, f, "look-1", "POST", "/pay/x", map[string]string{standin.HeaderRequestID: id, standin.HeaderServiceTime: "200"}, strings.NewReader("x"))
 			if r.header.Get(proxy.HeaderOutcome) == string(proxy.OutcomeNotRun) {
 				mu.Lock()
 				defer mu.Unlock()
--- a/internal/fleet/network.go
+++ b/internal/fleet/network.go
@@ -75,7 +75,7 @@
 }
 
 // wrapperFor returns the socket wrapper of a node in a data centre.
-func (n *Network) wrapperFor(centre string) peer.Wrap {
+func (n *Network) wrapperFor(centre string) peer.SocketWrapper {
 	return func(c net.PacketConn) net.PacketConn {
 		return &faultySocket{PacketConn: c, network: n, centre: centre}
 	}
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -36,21 +36,21 @@
 	// MaxEntries bounds the number of keys; when it is reached new keys are refused.
 	// Default 32768.
 	MaxEntries int
-	// MaxAnswer is the largest response body kept for repeats, in bytes. Default 4 KiB.
-	MaxAnswer int
-	// MaxAnswers bounds the size of all bodies kept, in bytes. Default 4 MiB.
-	MaxAnswers int
+	// MaxResponse is the largest response body kept for repeats, in bytes. Default 4 KiB.
+	MaxResponse int
+	// MaxResponses bounds the size of all bodies kept, in bytes. Default 4 MiB.
+	MaxResponses int
 }
 
 // DefaultConfig returns the default values documented at the fields.
 func DefaultConfig() Config {
 	return Config{
-		Window:     2 * time.Minute,
-		Skew:       2 * time.Second,
-		Settle:     16 * time.Second,
-		MaxEntries: 32768,
-		MaxAnswer:  4 << 10,
-		MaxAnswers: 4 << 20,
+		Window:       2 * time.Minute,
+		Skew:         2 * time.Second,
+		Settle:       16 * time.Second,
+		MaxEntries:   32768,
+		MaxResponse:  4 << 10,
+		MaxResponses: 4 << 20,
 	}
 }
 
@@ -79,7 +79,7 @@
 const (
 	// Run means that the request is new. The caller must end it with Finish.
 	Run Decision = iota
-	// Replay means that the request has run; Answer holds the response if it was kept.
+	// Replay means that the request has run; Response holds the response if it was kept.
 	Replay
 	// InProgress means that the request is running now.
 	InProgress
@@ -104,8 +104,8 @@
 		"moved", "conflict", "future", "full"}[min(d, Full)]
 }
 
-// Answer is a response kept for repeats.
-type Answer struct {
+// Response is a response kept for repeats.
+type Response struct {
 	Status int
 	Header map[string][]string
 	Body   []byte
@@ -127,14 +127,14 @@
 	fingerprint uint64
 	state       state
 	ended       time.Time
-	answer      *Answer
+	answer      *Response
 	fence       Fence // of a fenced entry
 }
 
 // Fence names the later owner that took over a key, and the table version that made it
 // the owner.
 type Fence struct {
-	Home    string
+	Owner   string
 	Version version.ID
 }
 
@@ -158,7 +158,7 @@
 // Verdict is the result of Begin, Claim and ClaimFromOthers.
 type Verdict struct {
 	Decision Decision
-	Answer   *Answer // of Replay, if it was kept
+	Response *Response // of Replay, if it was kept
 	// AlsoClaimFrom names another owner that took over the key before and must be sent a
 	// claim, too; empty if there is none.
 	AlsoClaimFrom string
@@ -179,7 +179,7 @@
 	e := el.Value.(*entry)
 	if e.state == fenced && held.Newer(e.fence.Version) {
 		// A later version has made this node the owner again.
-		previous := e.fence.Home
+		previous := e.fence.Owner
 		*e = entry{key: k, fingerprint: fingerprint, state: running}
 		return Verdict{Decision: Run, AlsoClaimFrom: previous}
 	}
@@ -211,8 +211,8 @@
 		return Verdict{Decision: PriorUnknown} // the claimant has an older table version
 	}
 	v := e.verdict()
-	if e.fence.Home != f.Home {
-		v.AlsoClaimFrom = e.fence.Home
+	if e.fence.Owner != f.Owner {
+		v.AlsoClaimFrom = e.fence.Owner
 	}
 	e.fence = f
 	l.markEnded(now, e)
@@ -253,7 +253,7 @@
 )
 
 // Finish ends a request that Begin let run.
-func (l *Ledger) Finish(now time.Time, k Key, o Outcome, a *Answer) {
+func (l *Ledger) Finish(now time.Time, k Key, o Outcome, a *Response) {
 	el, ok := l.entries[k]
 	if !ok {
 		return
@@ -274,12 +274,12 @@
 }
 
 // keepAnswer applies the size limits: a body beyond them is dropped, its status is kept.
-func (l *Ledger) keepAnswer(a *Answer) *Answer {
+func (l *Ledger) keepAnswer(a *Response) *Response {
 	if a == nil {
 		return nil
 	}
-	if !a.Kept || len(a.Body) > l.cfg.MaxAnswer || l.answerBytes+len(a.Body) > l.cfg.MaxAnswers {
-		return &Answer{Status: a.Status}
+	if !a.Kept || len(a.Body) > l.cfg.MaxResponse || l.answerBytes+len(a.Body) > l.cfg.MaxResponses {
+		return &Response{Status: a.Status}
 	}
 	l.answerBytes += len(a.Body)
 	return a
@@ -314,5 +314,5 @@
 
 func (e *entry) verdict() Verdict {
 	d := [...]Decision{running: InProgress, done: Replay, unknown: Unknown, fenced: Moved}[e.state]
-	return Verdict{Decision: d, Answer: e.answer}
+	return Verdict{Decision: d, Response: e.answer}
 }
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -15,7 +15,7 @@
 	"github.com/walldrift/walldrift/internal/version"
 )
 
-var testConfig = Config{Window: 10 * time.Second, Skew: time.Second, Settle: 8 * time.Second, MaxEntries: 64, MaxAnswer: 8, MaxAnswers: 64}
+var testConfig = Config{Window: 10 * time.Second, Skew: time.Second, Settle: 8 * time.Second, MaxEntries: 64, MaxResponse: 8, MaxResponses: 64}
 
 // timedKey returns a version 7 UUID with the given creation time.
 func timedKey(at time.Time, n int) Key {
@@ -76,7 +76,7 @@
 	if v.AlsoClaimFrom != "" {
 		ask = append(ask, v.AlsoClaimFrom)
 	}
-	fence := Fence{Home: h.name, Version: h.snap.ID}
+	fence := Fence{Owner: h.name, Version: h.snap.ID}
 	v = ClaimFromOthers(h.name, ask, func(name string) (Verdict, error) {
 		if cut(name) {
 			return Verdict{}, errors.New("unreachable")
@@ -169,7 +169,7 @@
 						if o == NotRun {
 							count[k]--
 						}
-						owners[n].ledger.Finish(now, k, o, &Answer{Status: 200, Kept: true})
+						owners[n].ledger.Finish(now, k, o, &Response{Status: 200, Kept: true})
 					}
 					delete(running, k)
 				}
@@ -287,10 +287,10 @@
 	k := Key{Service: "s", Value: "opaque"}
 	assert.Equal(t, l.Begin(now, k, 7, version.ID{}).Decision, Run)
 	assert.Equal(t, l.Begin(now, k, 7, version.ID{}).Decision, InProgress)
-	l.Finish(now, k, Done, &Answer{Status: 201, Body: []byte("ok"), Kept: true})
+	l.Finish(now, k, Done, &Response{Status: 201, Body: []byte("ok"), Kept: true})
 	v := l.Begin(now, k, 7, version.ID{})
 	assert.Equal(t, v.Decision, Replay)
-	assert.Equal(t, string(v.Answer.Body), "ok")
+	assert.Equal(t, string(v.Response.Body), "ok")
 	assert.Equal(t, l.Begin(now, k, 8, version.ID{}).Decision, Conflict)
 }
 
@@ -311,10 +311,10 @@
 	for i := range testConfig.MaxEntries {
 		k := Key{Value: fmt.Sprint(i)}
 		assert.Equal(t, l.Begin(now, k, 1, version.ID{}).Decision, Run)
-		l.Finish(now, k, Done, &Answer{Status: 200, Body: []byte("12345678"), Kept: true})
+		l.Finish(now, k, Done, &Response{Status: 200, Body: []byte("12345678"), Kept: true})
 	}
 	assert.Equal(t, l.Begin(now, Key{Value: "more"}, 1, version.ID{}).Decision, Full)
-	assert.Assert(t, l.answerBytes <= testConfig.MaxAnswers)
+	assert.Assert(t, l.answerBytes <= testConfig.MaxResponses)
 	now = now.Add(testConfig.Window + 1)
 	assert.Equal(t, l.Begin(now, Key{Value: "more"}, 1, version.ID{}).Decision, Run)
 	assert.Equal(t, l.Len(), 1)
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -12,7 +12,7 @@
 	"github.com/walldrift/walldrift/internal/distribution"
 )
 
-// SelfStatus is the JSON document that admin.PathSelf serves.
+// SelfStatus is the JSON document that admin.PathStatus serves.
 type SelfStatus struct {
 	Node  distribution.NodeStatus `json:"node"`
 	Ready bool                    `json:"ready"`
@@ -32,7 +32,7 @@
 	e.GET(admin.PathHealth, func(c echo.Context) error { return c.String(http.StatusOK, "ok\n") })
 	e.GET(admin.PathReady, n.getReady)
 	e.GET(admin.PathMetrics, echo.WrapHandler(n.metrics.Handler()))
-	e.GET(admin.PathSelf, n.getSelf)
+	e.GET(admin.PathStatus, n.getSelf)
 	e.GET(admin.PathFleet, n.getFleet)
 	e.GET(admin.PathTable, n.getTable)
 	e.GET(admin.PathExplain+":service", n.getExplain)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -54,7 +54,7 @@
 // New binds all addresses of the node and builds its parts; Run starts it. On an error
 // it closes whatever it opened. wrap, if not nil, wraps the peer socket for fault
 // injection.
-func New(cfg *settings.Node, id *peer.Identity, logger *log.Logger, wrap peer.Wrap) (*Node, error) {
+func New(cfg *settings.Node, id *peer.Identity, logger *log.Logger, wrap peer.SocketWrapper) (*Node, error) {
 	n := &Node{
 		cfg:       cfg,
 		log:       logger,
@@ -70,7 +70,7 @@
 }
 
 // bind opens the listeners, then builds the parts that need their addresses.
-func (n *Node) bind(id *peer.Identity, wrap peer.Wrap) error {
+func (n *Node) bind(id *peer.Identity, wrap peer.SocketWrapper) error {
 	var err error
 	if n.callersListener, err = net.Listen("tcp", n.cfg.Callers.String()); err != nil {
 		return errors.Wrap(err, "callers address")
@@ -193,8 +193,8 @@
 // It doesn't announce the change to other nodes.
 func (n *Node) SetDraining(on bool) { n.backend.SetDraining(on) }
 
-// Survey queries the status of all nodes over the overlay.
-func (n *Node) Survey(ctx context.Context) ([]distribution.NodeStatus, error) {
+// QueryStatus queries the status of all nodes over the overlay.
+func (n *Node) QueryStatus(ctx context.Context) ([]distribution.NodeStatus, error) {
 	return n.service.QueryStatus(ctx)
 }
 
--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -92,11 +92,11 @@
 // flight. Requests still in flight at the shutdown timeout are cut and counted.
 func (n *Node) drainAndWait() {
 	n.leaving.Store(true)
-	n.log.Info("leaving", "timeout", n.cfg.DrainTimeout)
+	n.log.Info("leaving", "timeout", n.cfg.ShutdownTimeout)
 	n.service.SetLeaving(true)
-	time.Sleep(n.cfg.DrainAnnounce)
+	time.Sleep(n.cfg.ShutdownAnnounce)
 	n.backend.SetDraining(true)
-	ctx, cancel := context.WithTimeout(context.Background(), n.cfg.DrainTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), n.cfg.ShutdownTimeout)
 	defer cancel()
 	_ = n.callers.Shutdown(ctx)
 	for n.backend.InFlight() > 0 && ctx.Err() == nil {
--- a/internal/peer/endpoint.go
+++ b/internal/peer/endpoint.go
@@ -81,13 +81,13 @@
 	acceptDone       chan struct{}
 }
 
-// Wrap wraps an endpoint's socket for fault injection. A nil Wrap leaves the socket
+// SocketWrapper wraps an endpoint's socket for fault injection. A nil SocketWrapper leaves the socket
 // unchanged.
-type Wrap func(net.PacketConn) net.PacketConn
+type SocketWrapper func(net.PacketConn) net.PacketConn
 
 // Listen binds addr and accepts connections. handler serves the requests that other
 // nodes send.
-func Listen(addr netip.AddrPort, id *Identity, handler http.Handler, wrap Wrap) (*Endpoint, error) {
+func Listen(addr netip.AddrPort, id *Identity, handler http.Handler, wrap SocketWrapper) (*Endpoint, error) {
 	key, err := id.statelessResetKey()
 	if err != nil {
 		return nil, err
--- a/internal/peerhttp/peerhttp.go
+++ b/internal/peerhttp/peerhttp.go
@@ -13,9 +13,9 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Ask sends a request to the node at addr and decodes the response of at most maxBytes into
+// Call sends a request to the node at addr and decodes the response of at most maxBytes into
 // response. The header names the kind of the request. A status other than 200 is an error.
-func Ask(ctx context.Context, transport http.RoundTripper, addr netip.AddrPort, header string, request, response any, maxBytes int64) error {
+func Call(ctx context.Context, transport http.RoundTripper, addr netip.AddrPort, header string, request, response any, maxBytes int64) error {
 	raw, err := cbor.Marshal(request)
 	if err != nil {
 		return errors.Wrap(err, "peer request")
@@ -33,12 +33,12 @@
 	if resp.StatusCode != http.StatusOK {
 		return errors.New(resp.Status)
 	}
-	return errors.Wrap(Read(resp.Body, response, maxBytes), "peer response")
+	return errors.Wrap(Decode(resp.Body, response, maxBytes), "peer response")
 }
 
-// Read decodes a request or a response of at most maxBytes into v. A longer one is cut off,
+// Decode decodes a request or a response of at most maxBytes into v. A longer one is cut off,
 // which fails the decoding.
-func Read(r io.Reader, v any, maxBytes int64) error {
+func Decode(r io.Reader, v any, maxBytes int64) error {
 	raw, err := io.ReadAll(io.LimitReader(r, maxBytes))
 	if err != nil {
 		return err
@@ -46,10 +46,10 @@
 	return cbor.Unmarshal(raw, v)
 }
 
-// Answer sends a response. It returns an error if the response could not be encoded; the
+// Respond sends a response. It returns an error if the response could not be encoded; the
 // requesting node then gets status 500. Failed writes are ignored, since a node that has
 // disconnected sends its request again.
-func Answer(w http.ResponseWriter, response any) error {
+func Respond(w http.ResponseWriter, response any) error {
 	raw, err := cbor.Marshal(response)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
--- a/internal/platform/backoff.go
+++ b/internal/platform/backoff.go
@@ -10,7 +10,7 @@
 // fail together don't retry together. The zero Backoff is not usable.
 type Backoff struct {
 	Base     time.Duration // upper bound of the delay after the first failure
-	Cap      time.Duration // upper bound of the delay after any number of failures
+	Max      time.Duration // upper bound of the delay after any number of failures
 	failures int
 }
 
@@ -20,8 +20,8 @@
 // Next records a failure and returns the delay before the next attempt.
 func (b *Backoff) Next(rng *rand.Rand) time.Duration {
 	bound := b.Base << min(b.failures, maxDoublings)
-	if bound > b.Cap || bound <= 0 {
-		bound = b.Cap
+	if bound > b.Max || bound <= 0 {
+		bound = b.Max
 	}
 	b.failures++
 	return time.Duration(rng.Int64N(int64(bound) + 1))
--- a/internal/proxy/claim.go
+++ b/internal/proxy/claim.go
@@ -52,10 +52,10 @@
 		http.Error(w, "claim", http.StatusBadRequest)
 		return
 	}
-	v := c.b.Claim(ledger.Key{Service: request.Service, Tenant: request.Tenant, Value: request.Key}, ledger.Fence{Home: request.Owner, Version: request.Version})
+	v := c.b.Claim(ledger.Key{Service: request.Service, Tenant: request.Tenant, Value: request.Key}, ledger.Fence{Owner: request.Owner, Version: request.Version})
 	out := claimReply{Decision: v.Decision, ClaimFrom: v.AlsoClaimFrom}
-	if v.Answer != nil {
-		out.Status, out.Header, out.Body, out.Kept = v.Answer.Status, v.Answer.Header, v.Answer.Body, v.Answer.Kept
+	if v.Response != nil {
+		out.Status, out.Header, out.Body, out.Kept = v.Response.Status, v.Response.Header, v.Response.Body, v.Response.Kept
 	}
 	b, err := cbor.Marshal(out)
 	if err != nil {
@@ -84,7 +84,7 @@
 	if err != nil {
 		return ledger.Verdict{}, err
 	}
-	raw, err := cbor.Marshal(claimRequest{Service: k.Service, Tenant: k.Tenant, Key: k.Value, Owner: f.Home, Version: f.Version})
+	raw, err := cbor.Marshal(claimRequest{Service: k.Service, Tenant: k.Tenant, Key: k.Value, Owner: f.Owner, Version: f.Version})
 	if err != nil {
 		return ledger.Verdict{}, err
 	}
@@ -117,7 +117,7 @@
 	}
 	v := ledger.Verdict{Decision: r.Decision, AlsoClaimFrom: r.ClaimFrom}
 	if r.Status != 0 {
-		v.Answer = &ledger.Answer{Status: r.Status, Header: r.Header, Body: r.Body, Kept: r.Kept}
+		v.Response = &ledger.Response{Status: r.Status, Header: r.Header, Body: r.Body, Kept: r.Kept}
 	}
 	return v, nil
 }
--- a/internal/proxy/customer.go
+++ b/internal/proxy/customer.go
@@ -31,7 +31,7 @@
 // public refuses a request without a valid key.
 func (d Dialect) customerOf(snap *snapshot.Snapshot, route *snapshot.Route, h http.Header) (*table.Customer, *Problem) {
 	customers := snap.Customers()
-	if d.CustomerKey == "" || route.Public || !customers.Exist() {
+	if d.CustomerKey == "" || route.Public || !customers.NotEmpty() {
 		return nil, nil
 	}
 	c := customers.ByKey(h.Get(d.CustomerKey))
--- a/internal/proxy/dispatch.go
+++ b/internal/proxy/dispatch.go
@@ -83,7 +83,7 @@
 		body.expected = -1
 	}
 	if c.keyed {
-		body.copied, body.copyLimit = &bytes.Buffer{}, c.b.cfg.Ledger.MaxAnswer
+		body.copied, body.copyLimit = &bytes.Buffer{}, c.b.cfg.Ledger.MaxResponse
 	}
 	body.onEnd = func(fullyRead bool) { c.responseEnded(resp, body, fullyRead, cancel) }
 	resp.Body = body
@@ -143,7 +143,7 @@
 	if !complete {
 		c.finishKey(ledger.OutcomeUnknown, nil)
 	} else if c.keyed {
-		c.finishKey(ledger.Done, &ledger.Answer{
+		c.finishKey(ledger.Done, &ledger.Response{
 			Status: resp.StatusCode,
 			Header: resp.Header.Clone(),
 			Body:   bytes.Clone(body.copied.Bytes()),
--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -66,7 +66,7 @@
 		return
 	}
 	var err error
-	_ = http.NewResponseController(w).SetReadDeadline(clock.Steady(ex.deadline))
+	_ = http.NewResponseController(w).SetReadDeadline(clock.ToMonotonic(ex.deadline))
 	ex.body, err = newRequestBody(ex.req, ex.f.bufferLimit(), ex.f.cfg.BodyLimit())
 	if err != nil {
 		ex.finish(w, ex.f.problemResponse(bodyProblem(err), ex.req))
--- a/internal/proxy/idempotency_key.go
+++ b/internal/proxy/idempotency_key.go
@@ -31,7 +31,7 @@
 	}
 	b.mu.Unlock()
 	if len(owners) > 0 {
-		fence := ledger.Fence{Home: b.cfg.Name, Version: snap.ID}
+		fence := ledger.Fence{Owner: b.cfg.Name, Version: snap.ID}
 		v = ledger.ClaimFromOthers(b.cfg.Name, owners, func(owner string) (ledger.Verdict, error) {
 			return b.claims.Claim(ctx, owner, c.key, fence)
 		})
@@ -47,8 +47,8 @@
 		return nil, nil
 	}
 	c.b.metrics.keyDecision(v.Decision)
-	if v.Decision == ledger.Replay && v.Answer != nil && v.Answer.Kept {
-		return c.replay(v.Answer), nil
+	if v.Decision == ledger.Replay && v.Response != nil && v.Response.Kept {
+		return c.replay(v.Response), nil
 	}
 	return nil, keyProblem(v.Decision)
 }
@@ -56,7 +56,7 @@
 // headerReplayed marks a response that was stored for an earlier attempt.
 const headerReplayed = "Walldrift-Replayed"
 
-func (c *backendCall) replay(a *ledger.Answer) *http.Response {
+func (c *backendCall) replay(a *ledger.Response) *http.Response {
 	h := http.Header(a.Header).Clone()
 	c.b.setReportHeaders(h, c.env, false)
 	h.Set(headerReplayed, "true")
@@ -72,7 +72,7 @@
 	}
 }
 
-func (c *backendCall) finishKey(o ledger.Outcome, a *ledger.Answer) {
+func (c *backendCall) finishKey(o ledger.Outcome, a *ledger.Response) {
 	if !c.keyed {
 		return
 	}
--- a/internal/proxy/quarantine.go
+++ b/internal/proxy/quarantine.go
@@ -36,7 +36,7 @@
 // quarantined, otherwise nil. The advised retry delay is the time until the request is
 // probed again; the caller cannot shorten it.
 func quarantineProblem(q Quarantine, v quarantine.Verdict, env Envelope, req *http.Request) *Problem {
-	if !v.Held {
+	if !v.Quarantined {
 		return nil
 	}
 	q.Refused(env.Fingerprint, env.Service, v, requestInfo(req, env.Tenant))
--- a/internal/proxy/quarantine_test.go
+++ b/internal/proxy/quarantine_test.go
@@ -18,7 +18,7 @@
 }
 
 func (q *lateQuarantine) Start(quarantine.Fingerprint, string) quarantine.Verdict {
-	return quarantine.Verdict{Held: true, After: time.Minute}
+	return quarantine.Verdict{Quarantined: true, After: time.Minute}
 }
 
 func (q *lateQuarantine) Refused(quarantine.Fingerprint, string, quarantine.Verdict, quarantine.RequestInfo) {
--- a/internal/proxy/suspended_test.go
+++ b/internal/proxy/suspended_test.go
@@ -57,8 +57,8 @@
 		synctest.Wait()
 		go forwardWithTimeout(t, b, 2*time.Second, third)
 		time.Sleep(100 * time.Millisecond)
-		clock.Advance(suspensionTime)
-		defer clock.Advance(-suspensionTime)
+		clock.SimulateSuspension(suspensionTime)
+		defer clock.SimulateSuspension(-suspensionTime)
 		up.release <- struct{}{}
 		assert.Equal(t, <-first, http.StatusOK)
 		up.release <- struct{}{}
--- a/internal/quarantine/operators.go
+++ b/internal/quarantine/operators.go
@@ -22,7 +22,7 @@
 	for r, services := range t.records {
 		for service, rec := range services {
 			v := t.evaluate(now, r, service)
-			if !v.Held && !v.Probe {
+			if !v.Quarantined && !v.Probe {
 				continue
 			}
 			h := QuarantinedRequest{Request: r, Service: service, Crashes: v.Crashes, Refused: rec.refused, About: rec.info, RetryAfter: v.After}
--- a/internal/quarantine/retention.go
+++ b/internal/quarantine/retention.go
@@ -53,9 +53,9 @@
 // retention returns how long a record with the given crashes is kept.
 func (t *Tracker) retention(crashes []uint64) time.Duration {
 	if len(crashes) == 0 {
-		return t.cfg.ClearedMemory
+		return t.cfg.ClearedRetention
 	}
-	return t.cfg.Memory
+	return t.cfg.Retention
 }
 
 // evict removes records until MaxRecords remain: expired ones, then those with the fewest
--- a/internal/quarantine/tracker.go
+++ b/internal/quarantine/tracker.go
@@ -56,10 +56,10 @@
 }
 
 // clearIfAnswered clears a request of a crash that has just become known if an upstream
-// answered the request within AnsweredFor.
+// answered the request within AnsweredLifetime.
 func (t *Tracker) clearIfAnswered(now time.Time, k key) {
 	a := t.answers[k.answerSlot()]
-	if a.key == k && now.Sub(a.at) < t.cfg.AnsweredFor {
+	if a.key == k && now.Sub(a.at) < t.cfg.AnsweredLifetime {
 		t.release(now, k)
 	}
 }
@@ -106,17 +106,17 @@
 
 // Verdict says whether a request may run.
 type Verdict struct {
-	Held    bool
-	After   time.Duration // until the next probe may run, if the request is quarantined
-	Probe   bool          // may run once, to find out whether it still crashes its upstream
-	Crashes int
+	Quarantined bool
+	After       time.Duration // until the next probe may run, if the request is quarantined
+	Probe       bool          // may run once, to find out whether it still crashes its upstream
+	Crashes     int
 }
 
 // Check returns whether a request may run at a service, and counts as an attempt of the
 // request.
 func (t *Tracker) Check(now time.Time, r Fingerprint, service string) Verdict {
 	v := t.evaluate(now, r, service)
-	if v.Crashes >= t.cfg.HoldAfter {
+	if v.Crashes >= t.cfg.QuarantineAfter {
 		for _, rec := range t.records[r] {
 			rec.lastSeen = now
 		}
@@ -131,17 +131,17 @@
 		return Verdict{}
 	}
 	crashes, lastRun := countCrashes(services, service)
-	if crashes < t.cfg.HoldAfter {
+	if crashes < t.cfg.QuarantineAfter {
 		return Verdict{Crashes: crashes}
 	}
-	number := crashes - t.cfg.HoldAfter
+	number := crashes - t.cfg.QuarantineAfter
 	if number >= len(t.cfg.Probes) {
-		return Verdict{Held: true, After: t.cfg.Memory, Crashes: crashes}
+		return Verdict{Quarantined: true, After: t.cfg.Retention, Crashes: crashes}
 	}
 	wait := t.cfg.Probes[number]
 	due := lastRun.Add(wait + t.probeDelay(r, wait))
 	if now.Before(due) {
-		return Verdict{Held: true, After: due.Sub(now), Crashes: crashes}
+		return Verdict{Quarantined: true, After: due.Sub(now), Crashes: crashes}
 	}
 	return Verdict{Probe: true, Crashes: crashes}
 }
--- a/internal/quarantine/tracker_test.go
+++ b/internal/quarantine/tracker_test.go
@@ -22,7 +22,7 @@
 	var runs []time.Time
 	for at := start; at.Before(start.Add(during)); at = at.Add(every) {
 		b.Sweep(at)
-		if b.Start(at, crashing, shop).Held {
+		if b.Start(at, crashing, shop).Quarantined {
 			continue
 		}
 		runs = append(runs, at)
@@ -46,10 +46,10 @@
 	b := NewTracker(DefaultConfig())
 	sendCrashing(b, time.Second, time.Hour)
 	later := start.Add(time.Hour)
-	assert.Assert(t, b.Check(later, crashing, shop).Held)
-	later = later.Add(DefaultConfig().Memory + time.Second)
+	assert.Assert(t, b.Check(later, crashing, shop).Quarantined)
+	later = later.Add(DefaultConfig().Retention + time.Second)
 	b.Sweep(later)
-	assert.Assert(t, !b.Check(later, crashing, shop).Held)
+	assert.Assert(t, !b.Check(later, crashing, shop).Quarantined)
 	assert.Assert(t, b.Empty())
 }
 
@@ -60,11 +60,11 @@
 	for id := range uint64(2) {
 		b.UpstreamCrashed(start, id, shop, []Fingerprint{crashing, harmless})
 	}
-	assert.Assert(t, b.Check(start, harmless, shop).Held)
+	assert.Assert(t, b.Check(start, harmless, shop).Quarantined)
 	later := start.Add(8 * time.Second)
 	v := b.Start(later, harmless, shop)
-	assert.Assert(t, v.Probe && !v.Held)
-	assert.Assert(t, b.Start(later, harmless, shop).Held, "one probe at a time")
+	assert.Assert(t, v.Probe && !v.Quarantined)
+	assert.Assert(t, b.Start(later, harmless, shop).Quarantined, "one probe at a time")
 	assert.Assert(t, b.Answered(later, harmless, shop))
 	assert.Equal(t, b.Check(later, harmless, shop), Verdict{})
 	b.UpstreamCrashed(later, 0, shop, []Fingerprint{harmless})
@@ -81,8 +81,8 @@
 		there.UpstreamCrashed(soon, id, shop, []Fingerprint{crashing, harmless})
 	}
 	here.Merge(soon, there.Changes(soon))
-	assert.Assert(t, !here.Check(soon, harmless, shop).Held)
-	assert.Assert(t, here.Check(soon, crashing, shop).Held)
+	assert.Assert(t, !here.Check(soon, harmless, shop).Quarantined)
+	assert.Assert(t, here.Check(soon, crashing, shop).Quarantined)
 	there.Merge(soon, here.Changes(soon))
 	assert.Equal(t, there.Check(soon, harmless, shop).Crashes, 0)
 	later := start.Add(2 * time.Second)
@@ -97,10 +97,10 @@
 	b := NewTracker(DefaultConfig())
 	b.UpstreamCrashed(start, 1, shop, []Fingerprint{crashing})
 	b.UpstreamCrashed(start, 2, shop, []Fingerprint{crashing})
-	assert.Assert(t, b.Check(start, crashing, "shop-later").Held)
+	assert.Assert(t, b.Check(start, crashing, "shop-later").Quarantined)
 	b.Answered(start, crashing, "shop-later")
-	assert.Assert(t, !b.Check(start, crashing, "shop-later").Held)
-	assert.Assert(t, b.Check(start, crashing, shop).Held)
+	assert.Assert(t, !b.Check(start, crashing, "shop-later").Quarantined)
+	assert.Assert(t, b.Check(start, crashing, shop).Quarantined)
 }
 
 // An operator releases a request at all services.
@@ -110,7 +110,7 @@
 	now := start.Add(time.Hour)
 	assert.Assert(t, !b.Release(now, harmless))
 	assert.Assert(t, b.Release(now, crashing))
-	assert.Assert(t, !b.Check(now, crashing, shop).Held)
+	assert.Assert(t, !b.Check(now, crashing, shop).Quarantined)
 }
 
 // Many crashes under different requests take bounded memory, and quarantined requests
@@ -124,7 +124,7 @@
 		b.UpstreamCrashed(start.Add(time.Minute), uint64(1000+i), shop, []Fingerprint{Fingerprint(5000 + i), Fingerprint(9000 + i)})
 	}
 	assert.Equal(t, b.count(), cfg.MaxRecords)
-	assert.Assert(t, b.Check(start.Add(time.Minute), crashing, shop).Held)
+	assert.Assert(t, b.Check(start.Add(time.Minute), crashing, shop).Quarantined)
 }
 
 // trackerFleet is the state machine of trackers that learn of crashes and answers and
@@ -143,11 +143,11 @@
 	fleetRequests = 4
 )
 
-// fleetConfig disables AnsweredFor, so that an answer only clears the crashes known when
+// fleetConfig disables AnsweredLifetime, so that an answer only clears the crashes known when
 // it comes.
 func fleetConfig() Config {
 	cfg := DefaultConfig()
-	cfg.AnsweredFor = 0
+	cfg.AnsweredLifetime = 0
 	return cfg
 }
 
--- a/internal/routing/sample.go
+++ b/internal/routing/sample.go
@@ -39,7 +39,7 @@
 	if !r.cfg.ByExpectedTime || req.Pinned != "" || r.comparesAll(len(req.Service.Upstreams), perSecond) {
 		return r.appendCandidates(out, now, req, members)
 	}
-	out = r.drawCandidates(out, now, rnd, req, members, req.Service.In(r.self.DataCentre), sampleSize*drawsPerSample)
+	out = r.drawCandidates(out, now, rnd, req, members, req.Service.InDataCentre(r.self.DataCentre), sampleSize*drawsPerSample)
 	if rnd.Float64() < fastUpstreamShare {
 		out = r.addFastest(out, now, req, members)
 	}
--- a/internal/settings/fields.go
+++ b/internal/settings/fields.go
@@ -70,8 +70,8 @@
 	durationField("ledger", "skew", "2s", "clock difference allowed for in keys that carry their time", func(n *Node) *time.Duration { return &n.LedgerSkew }),
 	durationField("ledger", "settle", "16s", "time within which every node holds a version that one holds; keys born within it of a change of homes are asked about", func(n *Node) *time.Duration { return &n.LedgerSettle }),
 
-	durationField("shutdown", "announce", "1s", "time between announcing the leave and refusing new work", func(n *Node) *time.Duration { return &n.DrainAnnounce }),
-	durationField("shutdown", "timeout", "30s", "longest wait for requests in progress; what it cuts is reported", func(n *Node) *time.Duration { return &n.DrainTimeout }),
+	durationField("shutdown", "announce", "1s", "time between announcing the leave and refusing new work", func(n *Node) *time.Duration { return &n.ShutdownAnnounce }),
+	durationField("shutdown", "timeout", "30s", "longest wait for requests in progress; what it cuts is reported", func(n *Node) *time.Duration { return &n.ShutdownTimeout }),
 
 	choiceField("log", "level", "info", []string{"debug", "info", "warn", "error"}, "least level written", func(n *Node) *string { return &n.LogLevel }),
 	choiceField("log", "format", "text", []string{"text", "json"}, "form of the log lines", func(n *Node) *string { return &n.LogFormat }),
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -53,8 +53,8 @@
 	LedgerSkew   time.Duration
 	LedgerSettle time.Duration
 
-	DrainAnnounce time.Duration
-	DrainTimeout  time.Duration
+	ShutdownAnnounce time.Duration
+	ShutdownTimeout  time.Duration
 
 	LogLevel  string
 	LogFormat string
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -35,7 +35,7 @@
 	n, err := Parse("node.ini", []byte(validFile))
 	assert.NilError(t, err)
 	assert.Equal(t, n.Slots, 18)
-	assert.Equal(t, n.DrainTimeout, 30*time.Second)
+	assert.Equal(t, n.ShutdownTimeout, 30*time.Second)
 	assert.Equal(t, len(n.Seeds), 2)
 	assert.Equal(t, n.Seeds[1].Name, "pay-3")
 }
--- a/internal/settings/sidecar.go
+++ b/internal/settings/sidecar.go
@@ -33,18 +33,18 @@
 	// LeavingBound and TableBound are the times from publication within which the
 	// platform requires the shutdown of an upstream and a table to be in force.
 	LeavingBound, TableBound time.Duration
-	// WatchWait and NewsMaxAge replace the defaults of WatchWait and PeerMaxStaleness in
+	// WatchWait and PeerMaxStaleness replace the defaults of WatchWait and PeerMaxStaleness in
 	// discovery.Config; 0 keeps them.
-	WatchWait, NewsMaxAge time.Duration
-	NodesPerReader        int
+	WatchWait, PeerMaxStaleness time.Duration
+	NodesPerReader              int
 
 	MaxInFlight  int
 	BufferLimit  int
 	RetryRatio   float64
 	RetryReserve int
 
-	DrainAnnounce time.Duration
-	DrainTimeout  time.Duration
+	ShutdownAnnounce time.Duration
+	ShutdownTimeout  time.Duration
 
 	MemoryLimit int // MiB
 	GCPercent   int
@@ -76,7 +76,7 @@
 	durationField("store", "leaving_bound", "2s", "time in which a published leaving must be in force, as the platform wants it", func(s *Sidecar) *time.Duration { return &s.LeavingBound }),
 	durationField("store", "table_bound", "2s", "time in which a published table must be in force, as the platform wants it", func(s *Sidecar) *time.Duration { return &s.TableBound }),
 	durationField("store", "watch_wait", "", "longest wait of one watch of a reader; longer costs fewer calls, but must end well within news_max_age; if not set, 35% of the lesser bound, 700ms at most", func(s *Sidecar) *time.Duration { return &s.WatchWait }),
-	durationField("store", "news_max_age", "", "age of the newest news at which a sidecar turns from its readers to the store itself; longer forgives slower readers, shorter leaves cut ones sooner; if not set, 65% of the lesser bound, 1300ms at most", func(s *Sidecar) *time.Duration { return &s.NewsMaxAge }),
+	durationField("store", "news_max_age", "", "age of the newest news at which a sidecar turns from its readers to the store itself; longer forgives slower readers, shorter leaves cut ones sooner; if not set, 65% of the lesser bound, 1300ms at most", func(s *Sidecar) *time.Duration { return &s.PeerMaxStaleness }),
 	countField("store", "nodes_per_reader", "sidecars", "24", "sidecars of a data centre for which one of them reads the store; more costs fewer calls, fewer spreads the news over more machines", func(s *Sidecar) *int { return &s.NodesPerReader }),
 
 	countField("requests", "max_in_flight", "requests", "4096", "callers' requests in progress; one more is refused", func(s *Sidecar) *int { return &s.MaxInFlight }),
@@ -84,8 +84,8 @@
 	ratioField("requests", "retry_ratio", "retries per request", "0.15", "further tries at upstreams earned by each request; the fleet's sum must stay under what the platform allows", func(s *Sidecar) *float64 { return &s.RetryRatio }),
 	countField("requests", "retry_reserve", "retries", "3", "further tries saved up by one sidecar; times the number of sidecars it must stay under what the platform allows", func(s *Sidecar) *int { return &s.RetryReserve }),
 
-	durationField("shutdown", "announce", "2500ms", "time between announcing the leave and refusing new work; two missed readiness checks of a second each, and some", func(s *Sidecar) *time.Duration { return &s.DrainAnnounce }),
-	durationField("shutdown", "timeout", "6s", "time from the signal until the process is killed; what still runs at seven eighths of it is cut and reported", func(s *Sidecar) *time.Duration { return &s.DrainTimeout }),
+	durationField("shutdown", "announce", "2500ms", "time between announcing the leave and refusing new work; two missed readiness checks of a second each, and some", func(s *Sidecar) *time.Duration { return &s.ShutdownAnnounce }),
+	durationField("shutdown", "timeout", "6s", "time from the signal until the process is killed; what still runs at seven eighths of it is cut and reported", func(s *Sidecar) *time.Duration { return &s.ShutdownTimeout }),
 
 	countField("memory", "limit", "MiB", "64", "size from which the garbage collector works harder to stay under it", func(s *Sidecar) *int { return &s.MemoryLimit }),
 
@@ -123,8 +123,8 @@
 	if s.WatchWait > 0 {
 		c.WatchWait = s.WatchWait
 	}
-	if s.NewsMaxAge > 0 {
-		c.PeerMaxStaleness = s.NewsMaxAge
+	if s.PeerMaxStaleness > 0 {
+		c.PeerMaxStaleness = s.PeerMaxStaleness
 	}
 	c.NodesPerReader = s.NodesPerReader
 	c.LinkMbps = uint32(min(math.Ceil(s.LinkMbps), math.MaxUint32))
--- a/internal/sidecar/admin.go
+++ b/internal/sidecar/admin.go
@@ -39,11 +39,11 @@
 	mux.HandleFunc(admin.PathHealth, func(http.ResponseWriter, *http.Request) {})
 	mux.HandleFunc(admin.PathReady, s.getReady)
 	mux.Handle(admin.PathMetrics, s.metrics.Handler())
-	mux.HandleFunc(admin.PathSelf, func(w http.ResponseWriter, _ *http.Request) { s.writeJSON(w, s.status(clock.Now())) })
+	mux.HandleFunc(admin.PathStatus, func(w http.ResponseWriter, _ *http.Request) { s.writeJSON(w, s.status(clock.Now())) })
 	mux.HandleFunc(admin.PathFleet, func(w http.ResponseWriter, r *http.Request) { s.writeJSON(w, s.fleetStatus(r.Context())) })
 	mux.HandleFunc(admin.PathTable, s.getTable)
 	mux.HandleFunc("GET "+admin.PathQuarantine, func(w http.ResponseWriter, _ *http.Request) {
-		s.writeJSON(w, admin.Quarantined(s.quarantined.requests(clock.Now())))
+		s.writeJSON(w, admin.QuarantinedRequests(s.quarantined.requests(clock.Now())))
 	})
 	mux.HandleFunc(admin.PathQuotas, func(w http.ResponseWriter, _ *http.Request) { s.writeJSON(w, s.quotas.report(clock.Now())) })
 	mux.HandleFunc("POST "+admin.PathRelease+"{fingerprint}", s.release)
@@ -113,17 +113,17 @@
 func (s *Sidecar) status(now time.Time) distribution.NodeStatus {
 	followerStatus := s.follower.Status(now)
 	st := distribution.NodeStatus{
-		Name:       s.cfg.Name,
-		DataCentre: s.cfg.DataCentre,
-		Table:      s.holder.ID(),
-		HeldFor:    uint64(followerStatus.TableAge.Milliseconds()),
-		From:       followerStatus.TableFrom,
-		Reader:     followerStatus.Reader,
-		SourceAge:  uint64(followerStatus.Staleness.Milliseconds()),
-		Links:      len(followerStatus.Sources),
-		Refused:    formatInvalidEntries(followerStatus.Unusable),
-		Upstream:   s.backend.Restriction(),
-		HeldBack:   len(s.quarantined.requests(now)),
+		Name:        s.cfg.Name,
+		DataCentre:  s.cfg.DataCentre,
+		Table:       s.holder.ID(),
+		HeldFor:     uint64(followerStatus.TableAge.Milliseconds()),
+		From:        followerStatus.TableFrom,
+		Reader:      followerStatus.Reader,
+		SourceAge:   uint64(followerStatus.Staleness.Milliseconds()),
+		Links:       len(followerStatus.Sources),
+		Refused:     formatInvalidEntries(followerStatus.Unusable),
+		Upstream:    s.backend.Restriction(),
+		Quarantined: len(s.quarantined.requests(now)),
 	}
 	for _, e := range followerStatus.Evacuated {
 		st.Evacuated = append(st.Evacuated, distribution.EvacuatedCentre{DataCentre: e.DataCentre, Since: uint64(now.Sub(e.FirstSeen).Milliseconds())})
@@ -152,7 +152,7 @@
 
 // serveStatus responds to the status request of another sidecar.
 func (s *Sidecar) serveStatus(w http.ResponseWriter) {
-	if err := peerhttp.Answer(w, s.status(clock.Now())); err != nil {
+	if err := peerhttp.Respond(w, s.status(clock.Now())); err != nil {
 		s.log.Error("status not told", "err", err)
 	}
 }
@@ -179,6 +179,6 @@
 func (s *Sidecar) fetchStatus(ctx context.Context, m membership.Member) (st distribution.NodeStatus, err error) {
 	ctx, cancel := context.WithTimeout(ctx, statusQueryTimeout)
 	defer cancel()
-	err = peerhttp.Ask(ctx, s.peerClient, m.Peer, headerStatus, nil, &st, maxStatusBytes)
+	err = peerhttp.Call(ctx, s.peerClient, m.Peer, headerStatus, nil, &st, maxStatusBytes)
 	return st, errors.Wrap(err, "no answer")
 }
--- a/internal/sidecar/drain.go
+++ b/internal/sidecar/drain.go
@@ -10,11 +10,11 @@
 
 // drain shuts this node down gracefully: every request that was read gets a response.
 func (s *Sidecar) drain() {
-	sd := newShutdown(clock.Now(), s.cfg.DrainAnnounce, s.cfg.DrainTimeout)
+	sd := newShutdown(clock.Now(), s.cfg.ShutdownAnnounce, s.cfg.ShutdownTimeout)
 	s.leaving.Store(true)
 	s.frontend.BeginShutdown(proxy.ShutdownSchedule{Start: sd.startedAt, AnnouncedBy: sd.announcedBy(), Deadline: sd.deadline()})
 	s.backend.SetShutdownDeadline(sd.deadline())
-	s.log.Info("leaving", "timeout", s.cfg.DrainTimeout)
+	s.log.Info("leaving", "timeout", s.cfg.ShutdownTimeout)
 	for sd.current != stageEnded {
 		if sd.advance(clock.Now(), s.progress()) {
 			s.enterStage(sd.current)
--- a/internal/sidecar/quarantine_peers.go
+++ b/internal/sidecar/quarantine_peers.go
@@ -86,6 +86,6 @@
 func (p *quarantinePeers) send(ctx context.Context, to netip.AddrPort, m quarantineMessage) (reply quarantineMessage, err error) {
 	ctx, cancel := context.WithTimeout(ctx, quarantineTimeout)
 	defer cancel()
-	err = peerhttp.Ask(ctx, p.client, to, headerQuarantine, m, &reply, maxQuarantineMessage)
+	err = peerhttp.Call(ctx, p.client, to, headerQuarantine, m, &reply, maxQuarantineMessage)
 	return reply, errors.Wrapf(err, "quarantine message to %s", to)
 }
--- a/internal/sidecar/quarantine_sync.go
+++ b/internal/sidecar/quarantine_sync.go
@@ -198,7 +198,7 @@
 // serve handles the messages of other sidecars.
 func (q *sharedQuarantine) serve(w http.ResponseWriter, r *http.Request) {
 	var m quarantineMessage
-	if err := peerhttp.Read(r.Body, &m, maxQuarantineMessage); err != nil {
+	if err := peerhttp.Decode(r.Body, &m, maxQuarantineMessage); err != nil {
 		q.log.Warn("message about held requests not read", "err", err)
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
@@ -206,7 +206,7 @@
 	if len(m.ForwardTo) > 0 {
 		go q.forward(context.WithoutCancel(r.Context()), m.ForwardTo, m.Records)
 	}
-	if err := peerhttp.Answer(w, q.handle(clock.Now(), m)); err != nil {
+	if err := peerhttp.Respond(w, q.handle(clock.Now(), m)); err != nil {
 		q.log.Error("held requests not told", "err", err)
 	}
 }
--- a/internal/sidecar/quarantine_test.go
+++ b/internal/sidecar/quarantine_test.go
@@ -89,7 +89,7 @@
 		return nil, err
 	}
 	var m quarantineMessage
-	if err := peerhttp.Read(bytes.NewReader(raw), &m, maxQuarantineMessage); err != nil || m.Sync {
+	if err := peerhttp.Decode(bytes.NewReader(raw), &m, maxQuarantineMessage); err != nil || m.Sync {
 		return nil, errors.New("lost")
 	}
 	r.Body = io.NopCloser(bytes.NewReader(raw))
@@ -203,12 +203,12 @@
 	f := startFleet(t, 4, 0)
 	f.quarantineRequest("/read" + crashPath)
 	f.send(f.request(1, "GET", "/read"+crashPath, ""))
-	var rows []admin.HeldRequest
+	var rows []admin.QuarantinedRequest
 	assert.NilError(t, json.Unmarshal(f.get(1, admin.PathQuarantine), &rows))
 	assert.Equal(t, len(rows), 1)
 	assert.Equal(t, rows[0].Target, "/read"+crashPath)
 	assert.Equal(t, rows[0].Service, "shop")
-	assert.Assert(t, rows[0].Falls >= 2 && rows[0].Refused >= 1, "%+v", rows[0])
+	assert.Assert(t, rows[0].Crashes >= 2 && rows[0].Refused >= 1, "%+v", rows[0])
 	var nodes []struct {
 		HeldBack int `json:"held_back"`
 	}
--- a/internal/sidecar/quota.go
+++ b/internal/sidecar/quota.go
@@ -193,7 +193,7 @@
 	q.counts.sent.Inc(1)
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
-	if err = peerhttp.Ask(ctx, q.client, to, headerQuota, request, &g, maxBorrowMessage); err != nil {
+	if err = peerhttp.Call(ctx, q.client, to, headerQuota, request, &g, maxBorrowMessage); err != nil {
 		q.markUnresponsive(to)
 	}
 	return g, err
@@ -214,7 +214,7 @@
 // serve handles the borrow requests of other sidecars.
 func (q *customerQuotas) serve(w http.ResponseWriter, r *http.Request) {
 	var request borrowRequest
-	if err := peerhttp.Read(r.Body, &request, maxBorrowMessage); err != nil {
+	if err := peerhttp.Decode(r.Body, &request, maxBorrowMessage); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
@@ -223,7 +223,7 @@
 		http.Error(w, err.Error(), http.StatusNotFound)
 		return
 	}
-	_ = peerhttp.Answer(w, g) // without a response the borrower uses its local reserve
+	_ = peerhttp.Respond(w, g) // without a response the borrower uses its local reserve
 }
 
 // errUnknownCustomer reports a customer that is not in the table in force on this node.
@@ -274,10 +274,10 @@
 	defer q.mu.Unlock()
 	for _, c := range snap.Customers().All() {
 		count := q.borrower.Count(c.Name)
-		row := admin.CustomerQuota{Customer: c.Name, Keys: len(c.Keys), Rate: c.Rate, Burst: c.Burst, Taken: count.Admitted, Refused: count.Refused}
+		row := admin.CustomerQuota{Customer: c.Name, Keys: len(c.Keys), Rate: c.Rate, Burst: c.Burst, Admitted: count.Admitted, Refused: count.Refused}
 		if c.Rate > 0 {
 			owner := q.owners.ownerOf(c.Name)
-			row.Home = owner.peer.String()
+			row.Owner = owner.peer.String()
 			if owner.self {
 				row.Tokens = q.lender.Tokens(now, c.Name)
 			}
--- a/internal/sidecar/quota_test.go
+++ b/internal/sidecar/quota_test.go
@@ -221,6 +221,6 @@
 	assert.Equal(t, len(rows), 1)
 	assert.Equal(t, rows[0].Customer, "hauliers")
 	assert.Equal(t, rows[0].Keys, 1)
-	assert.Equal(t, rows[0].Taken, int64(1))
-	assert.Assert(t, rows[0].Home != "")
+	assert.Equal(t, rows[0].Admitted, int64(1))
+	assert.Assert(t, rows[0].Owner != "")
 }
--- a/internal/snapshot/bench_test.go
+++ b/internal/snapshot/bench_test.go
@@ -21,7 +21,7 @@
 	assert.NilError(b, err)
 	for _, upstreams := range []int{13, 190, 575, 1150, 2300} {
 		raw := standin.SyntheticTable(standin.Synthetic(upstreams, min(upstreams, 190), min(upstreams, 26), min(upstreams, 7)))
-		next, err := table.Set(raw, table.Edit{Row: table.RowUpstream, Name: "s000-0000", Column: table.ColWeight, Value: "3"})
+		next, err := table.ApplyEdits(raw, table.Edit{Row: table.RowUpstream, Name: "s000-0000", Column: table.ColWeight, Value: "3"})
 		assert.NilError(b, err)
 		b.Run(fmt.Sprintf("build/%d", upstreams), func(b *testing.B) {
 			b.ReportAllocs()
@@ -35,8 +35,8 @@
 		b.Run(fmt.Sprintf("splice/%d", upstreams), func(b *testing.B) {
 			size := 0
 			for b.Loop() {
-				splices := table.Between(raw, next)
-				_, err := table.Apply(raw, splices)
+				splices := table.ComputeSplices(raw, next)
+				_, err := table.ApplySplices(raw, splices)
 				assert.NilError(b, err)
 				size = 0
 				for _, s := range splices {
--- a/internal/snapshot/service.go
+++ b/internal/snapshot/service.go
@@ -24,7 +24,7 @@
 
 // NewService returns a service with the given upstreams, in any order.
 func NewService(row table.Service, upstreams ...*Upstream) *Service {
-	return (&Service{Service: row}).Change(upstreams, nil)
+	return (&Service{Service: row}).WithChanges(upstreams, nil)
 }
 
 // TotalWeight returns the sum of the upstreams' weights.
@@ -36,8 +36,8 @@
 	return sum
 }
 
-// In returns the upstreams in a data centre, sorted by name.
-func (s *Service) In(dataCentre string) []*Upstream { return s.byDataCentre[dataCentre] }
+// InDataCentre returns the upstreams in a data centre, sorted by name.
+func (s *Service) InDataCentre(dataCentre string) []*Upstream { return s.byDataCentre[dataCentre] }
 
 // Upstream returns the named upstream of the service, or nil.
 func (s *Service) Upstream(name string) *Upstream {
@@ -53,10 +53,10 @@
 	return slices.BinarySearchFunc(upstreams, name, func(u *Upstream, name string) int { return strings.Compare(u.Name, name) })
 }
 
-// Change returns a copy of the service in which the upstreams of set are added or
+// WithChanges returns a copy of the service in which the upstreams of set are added or
 // replaced by name and those named in removed are left out. Names in removed that s does
 // not have are ignored. The upstreams that stay are shared with s, which is not modified.
-func (s *Service) Change(set []*Upstream, removed []string) *Service {
+func (s *Service) WithChanges(set []*Upstream, removed []string) *Service {
 	setIn, removedIn := make(map[string][]*Upstream), make(map[string][]string)
 	removeIfMoved := func(name, dataCentre string) {
 		if old := s.Upstream(name); old != nil && old.DataCentre != dataCentre {
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -27,10 +27,10 @@
 // be pinned to, are in every snapshot that has the route.
 type Route struct{ table.Route }
 
-// Layout is one version of the table, indexed, without upstreams. Upstreams that come
-// from the store change while the version of the table stays the same. A Layout must not
+// IndexedTable is one version of the table, indexed, without upstreams. Upstreams that come
+// from the store change while the version of the table stays the same. A IndexedTable must not
 // be changed.
-type Layout struct {
+type IndexedTable struct {
 	ID     version.ID
 	Raw    []byte
 	Table  *table.Table
@@ -41,12 +41,12 @@
 // Snapshot is one version of the table with the upstreams, indexed. It must not be
 // changed.
 type Snapshot struct {
-	*Layout
-	// Directory increases with every change of the upstreams if these come from the
+	*IndexedTable
+	// UpstreamsRevision increases with every change of the upstreams if these come from the
 	// store. It orders the snapshots of one version of the table. It is 0 if the table
 	// lists the upstreams.
-	Directory uint64
-	services  map[string]*Service
+	UpstreamsRevision uint64
+	services          map[string]*Service
 }
 
 // Build checks a raw table and returns its snapshot. If the table has defects, the error
@@ -80,28 +80,28 @@
 			return nil, errors.Wrapf(ErrNotClosed, "route %q names unknown upstream %q", r.Name, r.Upstream)
 		}
 	}
-	layout, err := NewLayout(t, id, raw)
+	layout, err := NewIndexedTable(t, id, raw)
 	if err != nil {
 		return nil, err
 	}
 	return layout.Snapshot(0, services), nil
 }
 
-// NewLayout indexes a table that has passed the check. If a route names a service that is
+// NewIndexedTable indexes a table that has passed the check. If a route names a service that is
 // not in the table, the error is ErrNotClosed.
-func NewLayout(t *table.Table, id version.ID, raw []byte) (*Layout, error) {
-	l := &Layout{ID: id, Raw: raw, Table: t}
+func NewIndexedTable(t *table.Table, id version.ID, raw []byte) (*IndexedTable, error) {
+	l := &IndexedTable{ID: id, Raw: raw, Table: t}
 	return l, l.addRoutes(t)
 }
 
 // Snapshot returns the snapshot of this version with the given services, by name. A
 // service may be without upstreams: they may be discovered later.
-func (l *Layout) Snapshot(directory uint64, services map[string]*Service) *Snapshot {
-	return &Snapshot{Layout: l, Directory: directory, services: services}
+func (l *IndexedTable) Snapshot(directory uint64, services map[string]*Service) *Snapshot {
+	return &Snapshot{IndexedTable: l, UpstreamsRevision: directory, services: services}
 }
 
 // addRoutes indexes the routes. It allocates them together instead of one by one.
-func (l *Layout) addRoutes(t *table.Table) error {
+func (l *IndexedTable) addRoutes(t *table.Table) error {
 	services := make(map[string]bool, len(t.Services))
 	for _, svc := range t.Services {
 		services[svc.Name] = true
@@ -162,14 +162,14 @@
 }
 
 // Customers returns the customers of the table.
-func (l *Layout) Customers() *table.Customers { return l.Table.Customers }
+func (l *IndexedTable) Customers() *table.Customers { return l.Table.Customers }
 
 // Routes returns all routes, longest prefix first.
-func (l *Layout) Routes() []*Route { return l.routes }
+func (l *IndexedTable) Routes() []*Route { return l.routes }
 
 // Match returns the route for a request, or nil. A route for the request's host takes
 // precedence over one for any host. The host may include a port.
-func (l *Layout) Match(host, method, path string) *Route {
+func (l *IndexedTable) Match(host, method, path string) *Route {
 	if name, _, ok := strings.Cut(host, ":"); ok {
 		host = name
 	}
@@ -180,7 +180,7 @@
 }
 
 // Route is like Match, but considers only the routes for any host.
-func (l *Layout) Route(method, path string) *Route { return match(l.hosts[""], method, path) }
+func (l *IndexedTable) Route(method, path string) *Route { return match(l.hosts[""], method, path) }
 
 // match returns the first of the routes that matches the method and path. The routes must
 // be in order, longest prefix first.
@@ -223,12 +223,12 @@
 }
 
 // Advance puts s in force if it is newer than the current snapshot: by its version or, if
-// that is the same, by Directory. It reports whether it did.
+// that is the same, by UpstreamsRevision. It reports whether it did.
 func (h *Holder) Advance(s *Snapshot) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	cur := h.cur.Load()
-	if cur != nil && !s.ID.Newer(cur.ID) && (s.ID != cur.ID || s.Directory <= cur.Directory) {
+	if cur != nil && !s.ID.Newer(cur.ID) && (s.ID != cur.ID || s.UpstreamsRevision <= cur.UpstreamsRevision) {
 		return false
 	}
 	h.cur.Store(s)
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -66,7 +66,7 @@
 		var want version.ID
 		for _, e := range rapid.SliceOfN(rapid.Uint64Range(1, 6), 1, 20).Draw(t, "editions") {
 			id := version.Of(e, []byte{rapid.ByteRange(0, 3).Draw(t, "content")})
-			advanced := h.Advance(&Snapshot{Layout: &Layout{ID: id}})
+			advanced := h.Advance(&Snapshot{IndexedTable: &IndexedTable{ID: id}})
 			assert.Equal(t, advanced, id.Newer(want))
 			if advanced {
 				want = id
@@ -106,7 +106,7 @@
 		return &Upstream{Upstream: table.Upstream{Name: name, Concurrency: slots}, DataCentre: "dc" + name[:1]}
 	}
 	s := NewService(table.Service{}, newUpstream("b", 1), newUpstream("d", 1), newUpstream("a", 1))
-	next := s.Change([]*Upstream{newUpstream("c", 2), newUpstream("b", 2)}, []string{"d", "x"})
+	next := s.WithChanges([]*Upstream{newUpstream("c", 2), newUpstream("b", 2)}, []string{"d", "x"})
 	var names []string
 	for _, u := range next.Upstreams {
 		names = append(names, u.Name)
@@ -117,9 +117,9 @@
 	assert.Equal(t, len(s.Upstreams), 3)
 	moved := newUpstream("b", 2)
 	moved.DataCentre = "dcc"
-	afterMove := next.Change([]*Upstream{moved}, nil)
-	assert.Equal(t, len(afterMove.In("dcb")), 0)
-	assert.Equal(t, len(afterMove.In("dcc")), 2)
-	assert.Equal(t, len(next.In("dcb")), 1)
-	assert.Equal(t, len(next.In("dcd")), 0)
+	afterMove := next.WithChanges([]*Upstream{moved}, nil)
+	assert.Equal(t, len(afterMove.InDataCentre("dcb")), 0)
+	assert.Equal(t, len(afterMove.InDataCentre("dcc")), 2)
+	assert.Equal(t, len(next.InDataCentre("dcb")), 1)
+	assert.Equal(t, len(next.InDataCentre("dcd")), 0)
 }
--- a/internal/standin/layout.go
+++ b/internal/standin/layout.go
@@ -15,22 +15,22 @@
 
 // Group is one service of a layout with its upstream instances, the targets.
 type Group struct {
-	Service    string
-	Targets    int           // number of upstream instances
-	Slots      int           // concurrent requests of one target
-	Work       time.Duration // time that a target takes for one request
-	Kind       string
-	KindWeight float64
-	Prefix     string
-	Idempotent bool
+	Service     string
+	Upstreams   int           // number of upstream instances
+	Slots       int           // concurrent requests of one target
+	ServiceTime time.Duration // time that a target takes for one request
+	Kind        string
+	KindWeight  float64
+	Prefix      string
+	Idempotent  bool
 }
 
 // Layout describes a deployment: its services and the data centres they run in.
 type Layout struct {
-	Name    string
-	Region  string
-	Centres []string
-	Groups  []Group
+	Name        string
+	Region      string
+	DataCentres []string
+	Groups      []Group
 }
 
 // Slots of one target in the deployments below, at their present size.
@@ -42,7 +42,7 @@
 // Kerbline returns the deployment of a parking company at its present size.
 func Kerbline() Layout {
 	return Layout{
-		Name: "kerbline", Region: "scotland", Centres: []string{"glasgow-1", "glasgow-2", "edinburgh-1"},
+		Name: "kerbline", Region: "scotland", DataCentres: []string{"glasgow-1", "glasgow-2", "edinburgh-1"},
 		Groups: []Group{
 			{"tariff", 6, kerblineSlotsPerTarget, 10 * time.Millisecond, "lookup", 1, "/tariff", true},
 			{"payments", 4, kerblineSlotsPerTarget, 25 * time.Millisecond, "payment", 5, "/payments", false},
@@ -54,7 +54,7 @@
 // KestrelBrook returns the deployment of a lending company at its present size.
 func KestrelBrook() Layout {
 	return Layout{
-		Name: "kestrel", Region: "western-australia", Centres: []string{"perth-1", "perth-2", "bunbury-1"},
+		Name: "kestrel", Region: "western-australia", DataCentres: []string{"perth-1", "perth-2", "bunbury-1"},
 		Groups: []Group{
 			{"statements", 6, kestrelSlotsPerTarget, 10 * time.Millisecond, "statement", 1, "/statements", true},
 			{"ledger", 4, kestrelSlotsPerTarget, 25 * time.Millisecond, "drawdown", 5, "/ledger", false},
@@ -89,11 +89,11 @@
 func (l Layout) Placements() []Placement {
 	var out []Placement
 	for g, group := range l.Groups {
-		for i := range group.Targets {
+		for i := range group.Upstreams {
 			out = append(out, Placement{
 				Name:       fmt.Sprintf("%s-%d", group.Service, i+1),
 				Service:    group.Service,
-				DataCentre: l.Centres[(g+i)%len(l.Centres)],
+				DataCentre: l.DataCentres[(g+i)%len(l.DataCentres)],
 				Region:     l.Region,
 				Group:      group,
 			})
--- a/internal/standin/upstream.go
+++ b/internal/standin/upstream.go
@@ -16,13 +16,13 @@
 const (
 	// HeaderRequestID identifies a request in the response and in Runs.
 	HeaderRequestID = "X-Request-Id"
-	// HeaderWork overrides the time that a request takes, in milliseconds.
-	HeaderWork = "X-Work-Ms"
-	// HeaderAnswer sets the size of the response's padding in bytes.
-	HeaderAnswer = "X-Answer-Bytes"
-	// HeaderPretend adds an outcome header, which only nodes may set, to the response.
-	HeaderPretend     = "X-Pretend-Outcome"
-	headerNodeOutcome = "Walldrift-Outcome"
+	// HeaderServiceTime overrides the time that a request takes, in milliseconds.
+	HeaderServiceTime = "X-Work-Ms"
+	// HeaderResponseBytes sets the size of the response's padding in bytes.
+	HeaderResponseBytes = "X-Answer-Bytes"
+	// HeaderForgedOutcome adds an outcome header, which only nodes may set, to the response.
+	HeaderForgedOutcome = "X-Pretend-Outcome"
+	headerNodeOutcome   = "Walldrift-Outcome"
 )
 
 // maxPadding bounds the padding of a response, in bytes.
@@ -30,11 +30,11 @@
 
 // UpstreamConfig configures an Upstream.
 type UpstreamConfig struct {
-	Name  string
-	Slots int           // concurrent requests; more wait in the upstream
-	Work  time.Duration // time that one request takes
-	// Lie makes the load endpoint always report an idle upstream.
-	Lie bool
+	Name        string
+	Slots       int           // concurrent requests; more wait in the upstream
+	ServiceTime time.Duration // time that one request takes
+	// ReportIdle makes the load endpoint always report an idle upstream.
+	ReportIdle bool
 }
 
 // Upstream is a fake of one upstream instance. It echoes the request, so that a caller
@@ -132,7 +132,7 @@
 
 func (u *Upstream) serveLoad(w http.ResponseWriter) {
 	inUse := u.inUse.Load()
-	if u.cfg.Lie {
+	if u.cfg.ReportIdle {
 		inUse = 0
 	}
 	_, _ = io.WriteString(w, strconv.FormatInt(inUse, 10)+"\n")
@@ -171,15 +171,15 @@
 }
 
 func (u *Upstream) workDuration(r *http.Request) time.Duration {
-	d := u.cfg.Work
-	if ms, err := strconv.Atoi(r.Header.Get(HeaderWork)); err == nil && ms >= 0 {
+	d := u.cfg.ServiceTime
+	if ms, err := strconv.Atoi(r.Header.Get(HeaderServiceTime)); err == nil && ms >= 0 {
 		d = time.Duration(ms) * time.Millisecond
 	}
 	return d * time.Duration(u.workPercent.Load()) / normalWorkPercent
 }
 
 func (u *Upstream) respond(w http.ResponseWriter, r *http.Request, e Echo) {
-	if n, err := strconv.Atoi(r.Header.Get(HeaderAnswer)); err == nil && n > 0 && n <= maxPadding {
+	if n, err := strconv.Atoi(r.Header.Get(HeaderResponseBytes)); err == nil && n > 0 && n <= maxPadding {
 		pad := make([]byte, n)
 		for i := range pad {
 			pad[i] = 'x'
@@ -194,7 +194,7 @@
 	w.Header().Set("Content-Length", strconv.Itoa(len(b)))
 	// Simulates an upstream that copies headers from calls of its own: nodes must not
 	// take its outcome header for that of a node.
-	if v := r.Header.Get(HeaderPretend); v != "" {
+	if v := r.Header.Get(HeaderForgedOutcome); v != "" {
 		w.Header().Set(headerNodeOutcome, v)
 	}
 	_, _ = w.Write(b)
--- a/internal/table/customer.go
+++ b/internal/table/customer.go
@@ -92,8 +92,8 @@
 	return c.list
 }
 
-// Exist reports whether the table has any customer; if so, requests need a key.
-func (c *Customers) Exist() bool { return c != nil && len(c.list) > 0 }
+// NotEmpty reports whether the table has any customer; if so, requests need a key.
+func (c *Customers) NotEmpty() bool { return c != nil && len(c.list) > 0 }
 
 // ByKey returns the customer with the key, or nil.
 func (c *Customers) ByKey(key string) *Customer {
--- a/internal/table/customer_test.go
+++ b/internal/table/customer_test.go
@@ -17,7 +17,7 @@
 		assert.Assert(t, c.ByKey(key) == nil, "%q", key)
 	}
 	var none *Customers
-	assert.Assert(t, none.ByKey("k1") == nil && none.ByName("growers") == nil && !none.Exist())
+	assert.Assert(t, none.ByKey("k1") == nil && none.ByName("growers") == nil && !none.NotEmpty())
 }
 
 // A defect disables only the key or limit concerned, and no finding contains a key,
--- a/internal/table/delta.go
+++ b/internal/table/delta.go
@@ -19,7 +19,7 @@
 // whose result is larger than MaxBytes.
 var ErrSplice = errors.New("splice does not fit the table")
 
-// Between returns the splices that turn from into to when applied one after another, in
+// ComputeSplices returns the splices that turn from into to when applied one after another, in
 // ascending order. Each run of adjacent changed chunks gives at least one.
 //
 // A chunk ends with a newline or a closing brace, so that one row is about one chunk both
@@ -27,7 +27,7 @@
 // parallel. Where they differ, they are aligned again at the next chunk of the new table
 // that occurs exactly once in the old one, after the current position. Rows that moved
 // towards the start of the table are therefore removed and inserted.
-func Between(from, to []byte) []Splice {
+func ComputeSplices(from, to []byte) []Splice {
 	oldChunks, newChunks := chunks(from), chunks(to)
 	positions := uniquePositions(oldChunks)
 	w := spliceBuilder{}
@@ -138,9 +138,9 @@
 	}
 }
 
-// Apply applies the splices to raw one after another and returns the result, which is
+// ApplySplices applies the splices to raw one after another and returns the result, which is
 // never larger than MaxBytes. If a splice does not fit, the error is ErrSplice.
-func Apply(raw []byte, splices []Splice) ([]byte, error) {
+func ApplySplices(raw []byte, splices []Splice) ([]byte, error) {
 	var err error
 	for len(splices) > 0 && err == nil {
 		n := onePassCount(splices)
--- a/internal/table/edit.go
+++ b/internal/table/edit.go
@@ -19,10 +19,10 @@
 // ErrNoCell reports an edit of a cell that the table does not have.
 var ErrNoCell = errors.New("no such cell")
 
-// Set returns the raw table with the edits made and the edition incremented. All other
+// ApplyEdits returns the raw table with the edits made and the edition incremented. All other
 // cells keep their values. The result is not checked: call Parse on it. If a cell does
 // not exist, the error is ErrNoCell.
-func Set(raw []byte, edits ...Edit) ([]byte, error) {
+func ApplyEdits(raw []byte, edits ...Edit) ([]byte, error) {
 	records, err := csv.NewReader(bytes.NewReader(bytes.TrimPrefix(raw, byteOrderMark))).ReadAll()
 	if err != nil {
 		return nil, errors.Wrap(err, "read table")
--- a/internal/table/steps.go
+++ b/internal/table/steps.go
@@ -15,8 +15,8 @@
 // spliceOverhead approximates the encoded size of a splice in bytes, without Insert.
 const spliceOverhead = 12
 
-// SpliceBytes approximates the encoded size of splices in bytes.
-func SpliceBytes(splices []Splice) int {
+// EncodedSpliceSize approximates the encoded size of splices in bytes.
+func EncodedSpliceSize(splices []Splice) int {
 	size := 0
 	for _, s := range splices {
 		size += len(s.Insert) + spliceOverhead
@@ -24,28 +24,28 @@
 	return size
 }
 
-// Steps holds the most recent steps of a table, so that a node with an older version can
+// RecentSteps holds the most recent steps of a table, so that a node with an older version can
 // be sent splices instead of the complete table. Each step begins at the version at which
 // the previous one ended. When a limit is exceeded, the oldest steps are removed.
-type Steps struct {
+type RecentSteps struct {
 	MaxSteps int
 	MaxBytes int // limit of Bytes
 	steps    []Step
 }
 
 // Add appends a step and removes the oldest ones beyond MaxSteps and MaxBytes.
-func (s *Steps) Add(step Step) {
+func (s *RecentSteps) Add(step Step) {
 	s.steps = append(s.steps, step)
 	total := s.Bytes()
 	for len(s.steps) > 0 && (len(s.steps) > s.MaxSteps || total > s.MaxBytes) {
-		total -= SpliceBytes(s.steps[0].Splices)
+		total -= EncodedSpliceSize(s.steps[0].Splices)
 		s.steps = slices.Delete(s.steps, 0, 1)
 	}
 }
 
 // Since returns the steps that lead from base to the latest version; nil if no step
 // begins at base.
-func (s *Steps) Since(base version.ID) []Step {
+func (s *RecentSteps) Since(base version.ID) []Step {
 	first := slices.IndexFunc(s.steps, func(step Step) bool { return step.From == base })
 	if first < 0 {
 		return nil
@@ -54,16 +54,16 @@
 }
 
 // Bytes approximates the encoded size of all splices held, in bytes.
-func (s *Steps) Bytes() int {
+func (s *RecentSteps) Bytes() int {
 	total := 0
 	for _, step := range s.steps {
-		total += SpliceBytes(step.Splices)
+		total += EncodedSpliceSize(step.Splices)
 	}
 	return total
 }
 
 // Len returns the number of steps held.
-func (s *Steps) Len() int { return len(s.steps) }
+func (s *RecentSteps) Len() int { return len(s.steps) }
 
-// Forget removes all steps.
-func (s *Steps) Forget() { s.steps = nil }
+// Clear removes all steps.
+func (s *RecentSteps) Clear() { s.steps = nil }
--- a/internal/table/table_test.go
+++ b/internal/table/table_test.go
@@ -84,13 +84,13 @@
 }
 
 // Spreadsheet programs write a byte order mark and CRLF line ends. Parse accepts both,
-// and Set does not write the byte order mark back.
+// and ApplyEdits does not write the byte order mark back.
 func TestByteOrderMarkAndCRLF(t *testing.T) {
 	raw := []byte("\xef\xbb\xbf" + strings.ReplaceAll(validTable, "\n", "\r\n"))
 	tbl, findings := Parse(raw)
 	assert.Equal(t, len(findings), 0, "%v", findings)
 	assert.Equal(t, tbl.Edition, uint64(7))
-	next, err := Set(raw, Edit{RowUpstream, "tariff-1", ColWeight, "4"})
+	next, err := ApplyEdits(raw, Edit{RowUpstream, "tariff-1", ColWeight, "4"})
 	assert.NilError(t, err)
 	assert.Assert(t, bytes.HasPrefix(next, []byte("row,")))
 }
@@ -128,7 +128,7 @@
 }
 
 func TestSetChangesCellAndIncrementsEdition(t *testing.T) {
-	next, err := Set([]byte(validTable), Edit{RowUpstream, "tariff-1", ColWeight, "4"})
+	next, err := ApplyEdits([]byte(validTable), Edit{RowUpstream, "tariff-1", ColWeight, "4"})
 	assert.NilError(t, err)
 	changes, err := Diff([]byte(validTable), next)
 	assert.NilError(t, err)
@@ -136,7 +136,7 @@
 		{RowTable, "edition", ColName, "7", "8"},
 		{RowUpstream, "tariff-1", ColWeight, "1", "4"},
 	})
-	_, err = Set([]byte(validTable), Edit{RowUpstream, "tariff-9", ColWeight, "4"})
+	_, err = ApplyEdits([]byte(validTable), Edit{RowUpstream, "tariff-9", ColWeight, "4"})
 	assert.ErrorIs(t, err, ErrNoCell)
 }
 
@@ -150,7 +150,7 @@
 func TestSplicesGiveNewTable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		from, to := drawLines(t, "from"), drawLines(t, "to")
-		got, err := Apply(from, Between(from, to))
+		got, err := ApplySplices(from, ComputeSplices(from, to))
 		assert.NilError(t, err)
 		assert.Equal(t, string(got), string(to))
 	})
@@ -163,13 +163,13 @@
 	}
 	from := []byte(b.String())
 	to := bytes.Replace(from, []byte("s-1000,s,,1,"), []byte("s-1000,s,,7,"), 1)
-	splices := Between(from, to)
+	splices := ComputeSplices(from, to)
 	assert.Equal(t, len(splices), 1)
 	assert.Assert(t, len(splices[0].Insert) < 64)
 }
 
 func TestApplyRejectsSpliceBeyondEnd(t *testing.T) {
-	_, err := Apply([]byte("abc"), []Splice{{Prefix: 2, Delete: 5}})
+	_, err := ApplySplices([]byte("abc"), []Splice{{Prefix: 2, Delete: 5}})
 	assert.ErrorIs(t, err, ErrSplice)
 }
 
