--- a/internal/discovery/config.go
+++ b/internal/discovery/config.go
@@ -87,10 +87,10 @@
 
 // Maximum values of the defaults as shares of Config.ChangeBound.
 const (
-	watchShare   = 0.35
-	gapShare     = 0.25
-	newsShare    = 0.65
-	overdueShare = 0.15
+	watchShare         = 0.35
+	gapShare           = 0.25
+	peerStalenessShare = 0.65
+	hedgeDelayShare    = 0.15
 )
 
 // ConfigFor returns the defaults for a platform that requires changes in force within the
@@ -101,8 +101,8 @@
 	c.ChangeBound = bound
 	c.WatchWait = min(c.WatchWait, share(watchShare))
 	c.MinGap = min(c.MinGap, share(gapShare))
-	c.PeerMaxStaleness = min(c.PeerMaxStaleness, share(newsShare))
-	c.HedgeDelay = min(c.HedgeDelay, share(overdueShare))
+	c.PeerMaxStaleness = min(c.PeerMaxStaleness, share(peerStalenessShare))
+	c.HedgeDelay = min(c.HedgeDelay, share(hedgeDelayShare))
 	return c
 }
 
--- a/internal/discovery/views.go
+++ b/internal/discovery/views.go
@@ -25,7 +25,7 @@
 	// What the views were built for.
 	document      *Document
 	services      map[string]bool
-	starts        map[string]ColdStart
+	coldStarts    map[string]ColdStart
 	evacuations   uint64 // Registry.evacuationChanges
 	upstreamCount int    // number of known upstreams
 }
@@ -41,7 +41,7 @@
 	switch {
 	case v.roster == nil, v.evacuations != f.registry.evacuationChanges, !maps.Equal(v.services, f.services):
 		return true
-	case f.document != nil && !maps.Equal(v.starts, f.document.ColdStarts):
+	case f.document != nil && !maps.Equal(v.coldStarts, f.document.ColdStarts):
 		return true
 	}
 	return max(size, v.upstreamCount)-min(size, v.upstreamCount) > v.upstreamCount/rebuildDivisor
@@ -85,7 +85,7 @@
 		f.views.groups[name] = snapshot.NewService(table.Service{Name: name})
 	}
 	if f.document != nil {
-		f.views.starts = f.document.ColdStarts
+		f.views.coldStarts = f.document.ColdStarts
 	}
 }
 
