--- a/internal/admission/cold_rate_limit_test.go
+++ b/internal/admission/cold_rate_limit_test.go
@@ -21,10 +21,10 @@
 	return n
 }
 
-// TestColdRateLimitAgainstOracle offers, releases and fills at random while the upstream changes
-// between cold and warm. The oracle is the list of starts: while the upstream is cold no
-// start may exceed the rate in any window, and a waiting request is started as soon as a
-// slot is free and the rate allows it.
+// TestColdRateLimitAgainstOracle offers, releases and fills at random while the upstream
+// changes between cold and warm. The oracle is the list of starts: while the upstream is
+// cold no start may exceed the rate in any window, and a waiting request is started as
+// soon as a slot is free and the rate allows it.
 func TestColdRateLimitAgainstOracle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rate := rapid.IntRange(1, 20).Draw(t, "rate")
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -112,8 +112,8 @@
 // Cold returns how long the upstream stays cold; 0 if it is warm or has no cold rate.
 func (q *Queue) Cold(now time.Time) time.Duration { return q.coldLimit.remaining(now) }
 
-// ColdLimitOpensAt returns when Fill may start a request that waits only for the rate limit of a
-// cold upstream. It returns false if no request waits or no slot is free.
+// ColdLimitOpensAt returns when Fill may start a request that waits only for the rate
+// limit of a cold upstream. It returns false if no request waits or no slot is free.
 func (q *Queue) ColdLimitOpensAt(now time.Time) (time.Time, bool) {
 	if q.waiting == 0 || q.inUse >= q.cfg.Slots {
 		return time.Time{}, false
--- a/internal/membership/list.go
+++ b/internal/membership/list.go
@@ -3,7 +3,8 @@
 // result it computes the overlay links of a node and the readers of the platform.
 //
 // The package is purely computational: the caller passes the time in, and there are no
-// goroutines, no I/O and no global state.
+// goroutines, no I/O and no global state. What it computes stays on the node and is never
+// written to state that nodes share.
 package membership
 
 import (
--- a/internal/membership/readers.go
+++ b/internal/membership/readers.go
@@ -105,7 +105,7 @@
 	return (len(r.byCentre[centre]) + r.nodesPerReader - 1) / r.nodesPerReader
 }
 
-// Readers returns the readers of a data centre: one for each perReader alive nodes,
+// Readers returns the readers of a data centre: one for each nodesPerReader alive nodes,
 // rounded up.
 func (r *Roster) Readers(centre string) []string { return r.topRanked(centre, r.readerCount(centre)) }
 
@@ -126,8 +126,9 @@
 const storeReaderCount = 3
 
 // StoreReaders returns the nodes that read the platform itself: storeReaderCount of the
-// first readers of the data centres. The other readers follow them and relay their
-// updates, so that the load on the platform does not grow with the number of data centres.
+// nodes that are ranked first in their data centres. The other readers follow them and
+// relay their updates, so that the load on the platform does not grow with the number of
+// data centres.
 func (r *Roster) StoreReaders() []string {
 	first := make([]rosterNode, 0, len(r.byCentre))
 	for _, nodes := range r.byCentre {
--- a/internal/overload/overload_test.go
+++ b/internal/overload/overload_test.go
@@ -139,8 +139,8 @@
 	assert.Equal(t, r.Quantile("few", SafeRunQuantile), time.Duration(0))
 }
 
-// A request is refused while it could still be in time elsewhere, and a late request only
-// waits for the next slots.
+// A waiting request is refused while another upstream could still answer it in time, and
+// a late request only waits for the next slots.
 func TestMaxWait(t *testing.T) {
 	const ms = time.Millisecond
 	for _, c := range []struct {
--- a/internal/quarantine/config.go
+++ b/internal/quarantine/config.go
@@ -4,17 +4,17 @@
 
 // Config holds the parameters of a Tracker.
 type Config struct {
-	// QuarantineAfter is the number of crashes, without an answer since, from which a request
-	// is quarantined. A lower number saves upstreams, a higher one quarantines fewer
-	// harmless requests: those that were running beside the crashing request are retried
-	// together with it and so are running at two crashes. Default 2.
+	// QuarantineAfter is the number of crashes, without an answer since, from which a
+	// request is quarantined. A lower number saves upstreams, a higher one quarantines
+	// fewer harmless requests: those that were running beside the crashing request are
+	// retried together with it and so are running at two crashes. Default 2.
 	QuarantineAfter int
 	// Probes are the times after the last crash or probe at which a quarantined request
-	// may run once more, indexed by the number of its crashes above QuarantineAfter. After the
-	// last probe it stays quarantined until it is released or hasn't been attempted for
-	// Retention. Longer times save upstreams, shorter ones release harmless requests sooner.
-	// Default 5 s, 30 s, 2 min: a harmless request that is retried is released soon, and
-	// a crashing one crashes at most three more upstreams.
+	// may run once more, indexed by the number of its crashes above QuarantineAfter.
+	// After the last probe it stays quarantined until it is released or hasn't been
+	// attempted for Retention. Longer times save upstreams, shorter ones release harmless
+	// requests sooner. Default 5 s, 30 s, 2 min: a harmless request that is retried is
+	// released soon, and a crashing one crashes at most three more upstreams.
 	Probes []time.Duration
 	// AnsweredLifetime is how long an answer also clears crashes that follow it. A request
 	// that many callers send is running at every upstream at any time, and was answered a
--- a/internal/quarantine/merge.go
+++ b/internal/quarantine/merge.go
@@ -19,8 +19,9 @@
 	Cleared []uint64 // crashes cleared by an answer
 	Good    bool     // an upstream of the service has answered it
 	// LastMs and SeenMs are the times since its last crash or probe and since its last
-	// attempt, in milliseconds. They are relative because clocks of nodes differ; the
-	// network time is short.
+	// attempt, in milliseconds. They are ages rather than times because the clocks of
+	// nodes differ; the network time, by which the receiver takes them for too short, is
+	// small.
 	LastMs, SeenMs int64
 }
 
@@ -129,7 +130,8 @@
 	return sum.Sum64()
 }
 
-// hash64 returns a hash of a number.
+// hash64 returns the xxHash of n, so that numbers that are close together are spread
+// evenly.
 func hash64(n uint64) uint64 {
 	return xxhash.Sum64(binary.BigEndian.AppendUint64(nil, n))
 }
--- a/internal/quarantine/tracker.go
+++ b/internal/quarantine/tracker.go
@@ -112,8 +112,9 @@
 	Crashes     int
 }
 
-// Check returns whether a request may run at a service, and counts as an attempt of the
-// request.
+// Check returns whether a request may run at a service. If the request is quarantined or
+// due for a probe, the check counts as an attempt, so that its records are kept for
+// another Config.Retention.
 func (t *Tracker) Check(now time.Time, r Fingerprint, service string) Verdict {
 	v := t.evaluate(now, r, service)
 	if v.Crashes >= t.cfg.QuarantineAfter {
--- a/internal/quarantine/tracker_test.go
+++ b/internal/quarantine/tracker_test.go
@@ -143,8 +143,8 @@
 	fleetRequests = 4
 )
 
-// fleetConfig disables AnsweredLifetime, so that an answer only clears the crashes known when
-// it comes.
+// fleetConfig disables AnsweredLifetime, so that an answer only clears the crashes known
+// when it comes.
 func fleetConfig() Config {
 	cfg := DefaultConfig()
 	cfg.AnsweredLifetime = 0
--- a/internal/quota/doc.go
+++ b/internal/quota/doc.go
@@ -7,10 +7,10 @@
 // messages a second and node, however irregular its requests.
 //
 // The invariant: the number of requests admitted in a window of length w is at most the
-// rate times w plus one lease, plus the burst, plus the local reserves of the nodes that
-// can't reach the owner. Tokens that were not spent within their lease are lost, so that
-// a node that was paused or partitioned holds no tokens that have been lent to others in
-// the meantime. A new owner starts with an empty bucket.
+// rate times (w + Lease), plus the burst, plus what the nodes that can't reach the owner
+// get from the standby and from their local reserves. Tokens that were not spent within
+// their lease are lost, so that a node that was paused or partitioned holds no tokens
+// that have been lent to others in the meantime. A new owner starts with an empty bucket.
 //
 // The package is pure: time and randomness are passed in. Nothing in it is safe for
 // concurrent use.
--- a/internal/quota/lender.go
+++ b/internal/quota/lender.go
@@ -63,8 +63,8 @@
 }
 
 // standbyRateFactor is the share of a customer's rate that a standby lends: the owner may
-// be lending to nodes that can reach it, and a node that ends doesn't report what it has
-// spent.
+// be lending to nodes that can reach it, and a node whose process ends doesn't report
+// what it has spent.
 const standbyRateFactor = 0.75
 
 // LendAsStandby is Lend for a node that can't reach the owner. Tokens spent without the
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -48,7 +48,8 @@
 func (c Class) NotRun() bool { return c != Answered && c != Ambiguous }
 
 // MayHaveReachedUpstream reports whether the request may have reached an upstream. With
-// Policy.FreeTries only such tries count against the retry budget and the number of tries.
+// Policy.FreeTries only such tries count as retries, and the budget is charged only after
+// one of them.
 func (c Class) MayHaveReachedUpstream() bool { return c == Answered || c == Rejected || c == Ambiguous }
 
 // Policy holds the parameters of the decision.
@@ -62,9 +63,10 @@
 	// MinRemaining is the minimum time until the deadline for another try. Default 5 ms.
 	MinRemaining time.Duration
 	// FreeTries is the number of additional tries that may end at a node before they
-	// reach an upstream. They aren't charged to the budget, as they add no load to the
-	// upstreams. A higher number finds free capacity at more upstreams, a lower one
-	// forwards a request fewer times. Default 0: every try counts.
+	// reach an upstream. The budget isn't charged until one of the tries may have reached
+	// an upstream, as the others add no load to the upstreams. A higher number finds free
+	// capacity at more upstreams, a lower one forwards a request fewer times. Default 0:
+	// every try counts.
 	FreeTries int
 }
 
--- a/internal/routing/candidate.go
+++ b/internal/routing/candidate.go
@@ -32,8 +32,8 @@
 	// MaxWait is how long the request may wait for a slot at the upstream; 0 means no
 	// limit.
 	MaxWait time.Duration
-	// Trial reports whether there is no recent load report of the upstream, so that it is
-	// due for a request that yields one.
+	// Trial reports whether the last load report of the upstream is too old or missing,
+	// so that it is due for a request that brings a new one.
 	Trial bool
 }
 
@@ -46,7 +46,8 @@
 	// ObjectiveDeadline is when the request should be answered; zero if it has no
 	// objective.
 	ObjectiveDeadline time.Time
-	// CallerRetry reports whether the caller sends the request again after a refusal.
+	// CallerRetry reports whether the request was refused before and the caller has sent
+	// it again.
 	CallerRetry bool
 }
 
--- a/internal/routing/cold_test.go
+++ b/internal/routing/cold_test.go
@@ -32,7 +32,8 @@
 
 // Half of the upstreams of a service cold-start at once while 88 nodes send it 1,000
 // requests a second in total. The nodes know nothing of each other's requests, but
-// together they must not send a cold upstream more than its cold rate.
+// together they must not send a cold upstream more than its cold rate. The warm upstreams
+// take the rest, so that a choice never fails.
 func TestColdUpstreamsGetTheirShareOfAllNodes(t *testing.T) {
 	const nodes, rate, seconds = 88, 14.0, 3
 	beds := newColdTestbeds(nodes, 32, 16, rate)
@@ -114,8 +115,8 @@
 	assert.Assert(t, cold < 1200 && warm > 2300, "cold %d, warm %d", cold, warm)
 }
 
-// The slow start of an upstream counts from the start time in the membership data, not
-// from when the node first sees the upstream.
+// With ColdFromMembers the slow start of an upstream counts from ColdSince of the member,
+// not from its start time. A later process without ColdSince is warm.
 func TestSlowStartFollowsMembers(t *testing.T) {
 	cfg := DefaultConfig()
 	cfg.ColdFromMembers = true
--- a/internal/routing/router.go
+++ b/internal/routing/router.go
@@ -63,7 +63,8 @@
 // slowStartTime returns when the slow start of an instance began; zero if it is warm.
 // known reports whether an earlier process of the same name was observed. An instance
 // that this node sees for the first time isn't treated as cold unless it started less
-// than Config.SlowStart ago.
+// than Config.SlowStart ago. With Config.ColdFromMembers only ColdSince of the instance
+// counts.
 func (r *Router) slowStartTime(now time.Time, m membership.Member, known bool) time.Time {
 	started := m.ColdSince
 	if !r.cfg.ColdFromMembers {
--- a/internal/routing/sample_test.go
+++ b/internal/routing/sample_test.go
@@ -53,9 +53,9 @@
 	return m, ok
 }
 
-// sendRequests sends requests from random nodes, each running 0.31 s at an upstream of normal
-// speed. It returns how many requests each upstream got and how many were late for an
-// objective of one second.
+// sendRequests sends requests from random nodes, each running 0.31 s at an upstream of
+// normal speed. It returns how many requests each upstream got and how many were late for
+// an objective of one second.
 func (c *fleetModel) sendRequests(requests int, perSecond float64) (got map[string]int, late int) {
 	got = make(map[string]int)
 	now := epoch
--- a/internal/routing/upstream_state.go
+++ b/internal/routing/upstream_state.go
@@ -266,9 +266,9 @@
 // wrongInstanceTTL is how long an upstream is excluded after its address answered for
 // another instance. The requested instance doesn't come back, and the instance list drops
 // it within three heartbeats (4.5 s at 1.5 s each) plus the delay of the list; the limit
-// only matters if the answer was wrong. Without the exclusion requests to such an address
-// used up the retry budget, so that others were refused: one in each of 4 of 40 runs of
-// 20 requests.
+// only matters if the answer was wrong. Without the exclusion, requests to such an
+// address used up the retry budget: in 4 of 40 runs of 20 requests, one request was
+// refused.
 const wrongInstanceTTL = 10 * time.Second
 
 func (s *upstreamState) isEjected(now time.Time) bool { return now.Before(s.ejectedUntil) }
--- a/internal/settings/sidecar.go
+++ b/internal/settings/sidecar.go
@@ -33,8 +33,8 @@
 	// LeavingBound and TableBound are the times from publication within which the
 	// platform requires the shutdown of an upstream and a table to be in force.
 	LeavingBound, TableBound time.Duration
-	// WatchWait and PeerMaxStaleness replace the defaults of WatchWait and PeerMaxStaleness in
-	// discovery.Config; 0 keeps them.
+	// WatchWait and PeerMaxStaleness replace the defaults of WatchWait and
+	// PeerMaxStaleness in discovery.Config; 0 keeps them.
 	WatchWait, PeerMaxStaleness time.Duration
 	NodesPerReader              int
 
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -27,9 +27,9 @@
 // be pinned to, are in every snapshot that has the route.
 type Route struct{ table.Route }
 
-// IndexedTable is one version of the table, indexed, without upstreams. Upstreams that come
-// from the store change while the version of the table stays the same. A IndexedTable must not
-// be changed.
+// IndexedTable is one version of the table, indexed, without upstreams. Upstreams that
+// come from the store change while the version of the table stays the same. An
+// IndexedTable must not be changed.
 type IndexedTable struct {
 	ID     version.ID
 	Raw    []byte
@@ -87,8 +87,8 @@
 	return layout.Snapshot(0, services), nil
 }
 
-// NewIndexedTable indexes a table that has passed the check. If a route names a service that is
-// not in the table, the error is ErrNotClosed.
+// NewIndexedTable indexes a table that has passed the check. If a route names a service
+// that is not in the table, the error is ErrNotClosed.
 func NewIndexedTable(t *table.Table, id version.ID, raw []byte) (*IndexedTable, error) {
 	l := &IndexedTable{ID: id, Raw: raw, Table: t}
 	return l, l.addRoutes(t)
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -99,8 +99,8 @@
 	}
 }
 
-// Change sets and removes upstreams, also in the index by data centre, and leaves the
-// original service unmodified.
+// WithChanges sets and removes upstreams, also in the index by data centre, and leaves
+// the original service unmodified.
 func TestServiceChange(t *testing.T) {
 	newUpstream := func(name string, slots int) *Upstream {
 		return &Upstream{Upstream: table.Upstream{Name: name, Concurrency: slots}, DataCentre: "dc" + name[:1]}
--- a/internal/table/delta.go
+++ b/internal/table/delta.go
@@ -19,14 +19,15 @@
 // whose result is larger than MaxBytes.
 var ErrSplice = errors.New("splice does not fit the table")
 
-// ComputeSplices returns the splices that turn from into to when applied one after another, in
-// ascending order. Each run of adjacent changed chunks gives at least one.
+// ComputeSplices returns the splices that turn from into to when applied one after
+// another, in ascending order. Each run of adjacent changed chunks gives at least one.
 //
 // A chunk ends with a newline or a closing brace, so that one row is about one chunk both
 // in CSV and in JSON, even if the JSON is on a single line. Both tables are scanned in
 // parallel. Where they differ, they are aligned again at the next chunk of the new table
-// that occurs exactly once in the old one, after the current position. Rows that moved
-// towards the start of the table are therefore removed and inserted.
+// that occurs exactly once in the old one, after the current position. A row that the
+// alignment has already passed in the old table, as one that moved towards the end, is
+// therefore removed and inserted.
 func ComputeSplices(from, to []byte) []Splice {
 	oldChunks, newChunks := chunks(from), chunks(to)
 	positions := uniquePositions(oldChunks)
@@ -138,8 +139,8 @@
 	}
 }
 
-// ApplySplices applies the splices to raw one after another and returns the result, which is
-// never larger than MaxBytes. If a splice does not fit, the error is ErrSplice.
+// ApplySplices applies the splices to raw one after another and returns the result, which
+// is never larger than MaxBytes. If a splice does not fit, the error is ErrSplice.
 func ApplySplices(raw []byte, splices []Splice) ([]byte, error) {
 	var err error
 	for len(splices) > 0 && err == nil {
--- a/internal/table/edit.go
+++ b/internal/table/edit.go
@@ -19,9 +19,9 @@
 // ErrNoCell reports an edit of a cell that the table does not have.
 var ErrNoCell = errors.New("no such cell")
 
-// ApplyEdits returns the raw table with the edits made and the edition incremented. All other
-// cells keep their values. The result is not checked: call Parse on it. If a cell does
-// not exist, the error is ErrNoCell.
+// ApplyEdits returns the raw table with the edits made and the edition incremented. All
+// other cells keep their values. The result is not checked: call Parse on it. If a cell
+// does not exist, the error is ErrNoCell.
 func ApplyEdits(raw []byte, edits ...Edit) ([]byte, error) {
 	records, err := csv.NewReader(bytes.NewReader(bytes.TrimPrefix(raw, byteOrderMark))).ReadAll()
 	if err != nil {
--- a/internal/table/steps.go
+++ b/internal/table/steps.go
@@ -24,9 +24,10 @@
 	return size
 }
 
-// RecentSteps holds the most recent steps of a table, so that a node with an older version can
-// be sent splices instead of the complete table. Each step begins at the version at which
-// the previous one ended. When a limit is exceeded, the oldest steps are removed.
+// RecentSteps holds the most recent steps of a table, so that a node with an older
+// version can be sent splices instead of the complete table. Each step begins at the
+// version at which the previous one ended. When a limit is exceeded, the oldest steps are
+// removed.
 type RecentSteps struct {
 	MaxSteps int
 	MaxBytes int // limit of Bytes
