--- a/internal/distribution/engine_test.go
+++ b/internal/distribution/engine_test.go
@@ -45,7 +45,7 @@
 	queues    map[[2]string][]*Message
 	up        map[[2]string]bool // keyed by ordered pair
 	published [][]byte           // every value the platform ever held
-	accepted  version.ID         // highest version in force on any node
+	accepted  version.ID         // highest version that was ever in force on a node
 }
 
 func newSim(n int) *sim {
@@ -168,8 +168,8 @@
 // TestVersionsUnderFaults drives a fleet of engines with concurrent edits, stale platform
 // reads, lost links, restarts and pauses, all overlapping. It checks that a node's
 // version never goes back, that a document that was rejected or never published is never
-// in force, and that once the links are restored all nodes hold the highest version in
-// force on any node.
+// in force, and that once the links are restored all nodes hold the highest version that
+// any node then held.
 func TestVersionsUnderFaults(t *testing.T) {
 	moves, faults := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/distribution/reader.go
+++ b/internal/distribution/reader.go
@@ -71,7 +71,7 @@
 func (s *Service) hasOtherSeeds() bool {
 	for _, seed := range s.cfg.Seeds {
 		if seed.Name == s.cfg.Self.Name {
-			return false // a seed starts from the platform
+			return false // a seed does not wait for other seeds
 		}
 	}
 	return len(s.cfg.Seeds) > 0
--- a/internal/http1/client.go
+++ b/internal/http1/client.go
@@ -29,7 +29,8 @@
 	// the system's default. Default 2 s.
 	UnackedTimeout time.Duration
 	// ExpectContinueAbove is the body size in bytes above which the client sends Expect:
-	// 100-continue and waits for it. A negative value disables this.
+	// 100-continue and waits for the server's 100 Continue before it sends the body. A
+	// body of unknown size counts as larger. A negative value disables this.
 	ExpectContinueAbove int64
 	// MatchesRequest reports whether a response belongs to the request. Other responses
 	// are skipped, as an upstream may send a second response late. Nil accepts all.
--- a/internal/http1/client_exchange.go
+++ b/internal/http1/client_exchange.go
@@ -22,7 +22,7 @@
 	client           *Client
 	cc               *clientConn
 	req              *http.Request
-	stopContextWatch func() bool // stops closing the connection when the request's context ends
+	stopContextWatch func() bool // stops interrupting reads and writes when the request's context ends
 	bodyResult       chan error  // result of sending the body; nil if it was sent with the head
 	bodyStarted      bool        // the body is being sent separately
 	bodyWatch        *peerWatch
--- a/internal/http1/deadline.go
+++ b/internal/http1/deadline.go
@@ -25,7 +25,7 @@
 	mu        sync.Mutex
 	deadline  time.Time // zero for none or an interrupt
 	expired   bool      // the deadline has passed and remaining is set
-	remaining int       // bytes that arrived before the deadline and are unread
+	remaining int       // unread bytes of those that had arrived when the deadline was noticed
 }
 
 func newDeadlineReader(nc net.Conn) *deadlineReader {
@@ -62,8 +62,8 @@
 	return max(0, now.Sub(r.deadline))
 }
 
-// remainingBeforeDeadline is called when the deadline has passed. It returns the number
-// of unread bytes that had arrived when this was first noticed.
+// remainingBeforeDeadline is called when the deadline has passed. Its first call counts
+// the bytes that have arrived by then; it returns how many of them are still unread.
 func (r *deadlineReader) remainingBeforeDeadline() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -91,7 +91,8 @@
 	return n
 }
 
-// Read reads until the deadline, and then the bytes that had arrived by then.
+// Read reads until the deadline, and then the bytes that had arrived when the deadline was
+// noticed.
 func (r *deadlineReader) Read(p []byte) (int, error) {
 	n, err := r.nc.Read(p)
 	if !isTimeout(err) {
--- a/internal/http1/server.go
+++ b/internal/http1/server.go
@@ -146,8 +146,8 @@
 	return len(s.conns)
 }
 
-// AnnounceClose sends Connection: close with the next response on each connection. A
-// connection is closed only after this announcement, and new connections are still
+// AnnounceClose sends Connection: close with the next response on each connection, which
+// is closed after that response. Idle connections stay open, and new ones are still
 // served.
 func (s *Server) AnnounceClose() { s.announcing.Store(true) }
 
--- a/internal/http1/stall_test.go
+++ b/internal/http1/stall_test.go
@@ -14,14 +14,14 @@
 	"gotest.tools/v3/assert"
 )
 
-// A small instance that applies a table of thousands of routes gets no CPU for up to 0.9
-// s (0.7 s at least). Meanwhile callers go on sending: the kernel buffers their bytes,
-// and the read deadlines pass. The poller reported the deadline first to the resumed
-// process, which took that for proof that nothing had arrived: it closed the connection
-// over a complete request, which got neither a response nor a refusal. Of 20 requests
-// sent during a pause of 0.7 s to a process with an idle timeout of 1 s, 8 ended so. In
-// the tests below a goroutine stalls at the call that reads, until its deadline has
-// passed and the bytes are in the kernel's buffer.
+// A small instance that applies a table of thousands of routes gets no CPU for 0.7 to
+// 0.9 s. Meanwhile callers go on sending: the kernel buffers their bytes, and the read
+// deadlines pass. The poller reported the deadline first to the resumed process, which
+// took that for proof that nothing had arrived: it closed the connection on a complete
+// request, which got neither a response nor a refusal. Of 20 requests sent during a pause
+// of 0.7 s to a process with an idle timeout of 1 s, 8 ended so. In the tests below a
+// goroutine stalls at the call that reads, until its deadline has passed and the bytes
+// are in the kernel's buffer.
 
 // stallPoint is a call at which a goroutine can be made to stall.
 type stallPoint struct {
--- a/internal/immutable/map.go
+++ b/internal/immutable/map.go
@@ -1,6 +1,6 @@
-// Package immutable provides an immutable map of which a changed copy is cheap. The map
-// is split into shards, about as many as each shard has entries, and a copy shares all
-// unchanged shards with the original.
+// Package immutable provides an immutable map of which a changed copy is cheap. A map of
+// n entries is split into about sqrt(n) shards, and a copy shares all unchanged shards
+// with the original.
 package immutable
 
 import (
--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -129,9 +129,9 @@
 	s.Gauge("request_connections").Update(float64(n.pool.Len()))
 }
 
-// healthLoop polls the upstream's health endpoint for its draining state. Any other
-// response is ignored: health endpoints lag or report wrongly, and the outcome of
-// requests is the better signal.
+// healthLoop polls the upstream's health endpoint for its draining state. No other health
+// state is acted on: health endpoints lag or report wrongly, and the outcome of requests
+// is the better signal.
 func (n *Node) healthLoop(ctx context.Context) {
 	if n.cfg.HealthPath == "" {
 		return
--- a/internal/peer/endpoint.go
+++ b/internal/peer/endpoint.go
@@ -81,8 +81,8 @@
 	acceptDone       chan struct{}
 }
 
-// SocketWrapper wraps an endpoint's socket for fault injection. A nil SocketWrapper leaves the socket
-// unchanged.
+// SocketWrapper wraps an endpoint's socket for fault injection. A nil SocketWrapper leaves
+// the socket unchanged.
 type SocketWrapper func(net.PacketConn) net.PacketConn
 
 // Listen binds addr and accepts connections. handler serves the requests that other
--- a/internal/peer/tls.go
+++ b/internal/peer/tls.go
@@ -77,9 +77,9 @@
 	}
 }
 
-// statelessResetKey derives the QUIC stateless reset key from the private key. A
-// restarted node so has the same key as before, and its peers drop the connections to
-// the earlier process at once instead of waiting for a timeout.
+// statelessResetKey derives the QUIC stateless reset key from the private key. A restarted
+// node therefore has the same key as before, so its peers drop the connections to the
+// earlier process at once instead of waiting for a timeout.
 func (id *Identity) statelessResetKey() (*quic.StatelessResetKey, error) {
 	der, err := x509.MarshalPKCS8PrivateKey(id.Certificate.PrivateKey)
 	if err != nil {
--- a/internal/sidecar/build.go
+++ b/internal/sidecar/build.go
@@ -21,7 +21,7 @@
 
 // Sizes and limits of the request path.
 const (
-	// expectContinueAbove is the body length in bytes from which a request to a peer waits
+	// expectContinueAbove is the body length in bytes above which a request to a peer waits
 	// for its admission (Expect: 100-continue) before the body is sent, so that refused
 	// uploads cost no bandwidth.
 	expectContinueAbove = 8 << 10
@@ -38,8 +38,9 @@
 	// maxIdleCallerConns bounds the idle connections of callers: a few for each caller on
 	// the machine.
 	maxIdleCallerConns = 256
-	// peerNoticePeriod is how long before a leaving node refuses requests its responses
-	// announce that to its peers: enough for a few responses to each peer.
+	// peerNoticePeriod is the time for which the responses of a leaving node announce to
+	// its peers that it is about to refuse their requests. It is enough for a few
+	// responses to each peer.
 	peerNoticePeriod = 500 * time.Millisecond
 	// bufferMemoryDivisor is the memory limit divided by the memory for buffered bodies.
 	bufferMemoryDivisor = 4
@@ -50,10 +51,10 @@
 	// freeTries is retry.Policy.FreeTries: one more try may end at a node before it
 	// reaches an upstream.
 	freeTries = 1
-	// slotsPerExtraRequest is the number of slots for which one request more than the
-	// slots is sent to the upstream, to wait in its own queue: it takes the next free slot
-	// without the round trip to this process. Under load this raised the value of the
-	// answered requests by 0 to 0.04.
+	// slotsPerExtraRequest is the number of slots of the upstream for each request that it
+	// is sent beyond its slots. Such a request waits in the upstream's own queue and takes
+	// the next free slot without the round trip to this process. Under load this raised
+	// the value of the answered requests by 0 to 0.04.
 	slotsPerExtraRequest = 6
 	// maxReceives is proxy.BackendConfig.MaxReceives. Two bodies saturate a link, the
 	// others cover the round trips during which one waits for its sender. Each queues up
@@ -91,7 +92,7 @@
 	toUpstream.DialTimeout = dialTimeout
 	// The upstream runs on this machine and loses power with it, so missing
 	// acknowledgements are no sign of a dead peer. With a timeout, bodies of 1 MB broke
-	// off when the upstream paused reading for 2.5 s.
+	// off once the upstream had paused reading for 2.5 s.
 	toUpstream.UnackedTimeout = 0
 	toUpstream.MatchesRequest = s.platform.Dialect.MatchesRequest
 	s.upstream = http1.NewClient(toUpstream)
--- a/internal/sidecar/cold_guard.go
+++ b/internal/sidecar/cold_guard.go
@@ -128,7 +128,7 @@
 	go func() {
 		defer g.probing.Store(false)
 		g.sentSinceProbe.Store(0)
-		_ = g.probe() // a failed probe is repeated soon
+		_ = g.probe() // after a failure the next requests start another probe
 	}()
 }
 
--- a/internal/sidecar/quota.go
+++ b/internal/sidecar/quota.go
@@ -30,7 +30,7 @@
 	// standbyTimeout bounds a borrow request to the standby, which may have to ask the
 	// owner first.
 	standbyTimeout = 2*borrowTimeout + borrowTimeout/2
-	// unresponsiveLifetime is how long a node that did not respond gets no more borrow
+	// unresponsiveLifetime is how long a node that did not respond gets no borrow
 	// requests. Nodes learn within seconds that a node is gone, and each borrow request to
 	// it delays a caller's request by the timeout.
 	unresponsiveLifetime = 500 * time.Millisecond
@@ -65,8 +65,8 @@
 	sweptAt      time.Time
 }
 
-// pauseThreshold is the interval between two sweeps from which on this process was paused
-// and the standby may have granted tokens in its place.
+// pauseThreshold is the interval between two sweeps beyond which this process counts as
+// having been paused: the standby may have granted tokens in its place.
 const pauseThreshold = 2 * sweepInterval
 
 // quotaCounters count requests refused over a limit, borrow requests sent, and those
@@ -223,7 +223,7 @@
 		http.Error(w, err.Error(), http.StatusNotFound)
 		return
 	}
-	_ = peerhttp.Respond(w, g) // without a response the borrower uses its local reserve
+	_ = peerhttp.Respond(w, g) // without a response the borrower asks the standby or uses its local reserve
 }
 
 // errUnknownCustomer reports a customer that is not in the table in force on this node.
--- a/internal/sidecar/quota_test.go
+++ b/internal/sidecar/quota_test.go
@@ -140,7 +140,7 @@
 	owner := l.all[peerAt(0)].owners.ownerOf("hauliers")
 	l.unreachable.Store(owner.peer, true)
 	borrower := l.all[peerAt(0)]
-	for i := range 8 { // one that is neither
+	for i := range 8 { // find a node that is neither owner nor standby
 		if p := peerAt(i); p != owner.peer && p != owner.standby {
 			borrower = l.all[p]
 		}
--- a/internal/sidecar/shutdown.go
+++ b/internal/sidecar/shutdown.go
@@ -59,10 +59,10 @@
 	// callers that have just connected to send a request. It is longer than http1 waits
 	// for the latter.
 	closeWait = 700 * time.Millisecond
-	// backlogWait is how long the backlog of the listener is answered, and minBacklogPolls
-	// the number of polls that must lie in that time, as it can pass during a pause of the
-	// process. With the time alone 155 of 200 requests sent during a pause of 0.7 s were
-	// reset unread, with the polls none.
+	// backlogWait is the minimum time for answering the connections of the listener's
+	// backlog, and minBacklogPolls the number of polls that this stage also requires, as
+	// the time can pass during a process pause. With the time alone 155 of 200 requests
+	// sent during a pause of 0.7 s were reset unread, with the polls none.
 	backlogWait     = 100 * time.Millisecond
 	minBacklogPolls = 5
 )
--- a/internal/sidecar/shutdown_stall_test.go
+++ b/internal/sidecar/shutdown_stall_test.go
@@ -9,8 +9,8 @@
 
 // A process that is paused just after it has accepted the backlog of its listener finds
 // the time of this stage over when it continues. If it ended then, before it had read the
-// accepted connections, they would be reset: 155 of 200 requests sent during pauses of 0.7
-// s. If the stage also requires five polls, 20 ms apart, none are.
+// accepted connections, they would be reset: 155 of 200 requests sent during pauses of
+// 0.7 s (SIGSTOP). If the stage also requires five polls, 20 ms apart, none are.
 func TestPausedNodeAnswersItsBacklogBeforeItEnds(t *testing.T) {
 	now := time.Unix(1000, 0)
 	sd := newShutdown(now, 0, 6*time.Second)
