--- a/internal/http1/deadline.go
+++ b/internal/http1/deadline.go
@@ -25,7 +25,7 @@
 	mu        sync.Mutex
 	deadline  time.Time // zero for none or an interrupt
 	expired   bool      // the deadline has passed and remaining is set
-	remaining int       // bytes that arrived before the deadline and are unread
+	remaining int       // unread bytes of those that had arrived when the deadline was noticed
 }
 
 func newDeadlineReader(nc net.Conn) *deadlineReader {
@@ -62,9 +62,9 @@
 	return max(0, now.Sub(r.deadline))
 }
 
-// remainingBeforeDeadline is called when the deadline has passed. It returns the number
-// of unread bytes that had arrived when this was first noticed.
-func (r *deadlineReader) remainingBeforeDeadline() int {
+// remainingAtDeadline is called when the deadline has passed. Its first call counts
+// the bytes that have arrived by then; it returns how many of them are still unread.
+func (r *deadlineReader) remainingAtDeadline() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !r.expired {
@@ -91,13 +91,14 @@
 	return n
 }
 
-// Read reads until the deadline, and then the bytes that had arrived by then.
+// Read reads until the deadline, and then the bytes that had arrived when the deadline was
+// noticed.
 func (r *deadlineReader) Read(p []byte) (int, error) {
 	n, err := r.nc.Read(p)
 	if !isTimeout(err) {
 		return n, err
 	}
-	remaining := r.remainingBeforeDeadline()
+	remaining := r.remainingAtDeadline()
 	switch {
 	case remaining == 0 && r.atEOF():
 		return 0, io.EOF
@@ -157,7 +158,7 @@
 		_, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		return err != syscall.EAGAIN && err != syscall.EWOULDBLOCK
 	})
-	if isTimeout(err) && r.remainingBeforeDeadline() > 0 {
+	if isTimeout(err) && r.remainingAtDeadline() > 0 {
 		return nil
 	}
 	return err
