--- a/cmd/walldrift/fleet_test.go
+++ b/cmd/walldrift/fleet_test.go
@@ -166,7 +166,7 @@
 	return st, json.NewDecoder(resp.Body).Decode(&st) == nil
 }
 
-// publishEdit publishes the table with the weight of tariff-1 changed and returns the
+// publishEdit publishes the table with one upstream's weight changed and returns the
 // prefix of its version: the edition and a hyphen.
 func (p *processFleet) publishEdit(weight int) string {
 	p.t.Helper()
--- a/internal/bench/load.go
+++ b/internal/bench/load.go
@@ -38,7 +38,7 @@
 	Targets  []string // base URLs, used in turn
 	Streams  []Stream
 	Rate     float64       // requests per second
-	Duration time.Duration // duration; 0 runs until the context ends
+	Duration time.Duration // 0 runs until the context ends
 	Timeout  time.Duration // of one request
 	Seed     uint64
 	// KeepIDs records the IDs of requests, so that their runs can be counted later.
--- a/internal/bench/plan.go
+++ b/internal/bench/plan.go
@@ -15,7 +15,7 @@
 	"github.com/walldrift/walldrift/internal/standin"
 )
 
-// Plan describes a fleet of separate processes. The layout command writes it, the other
+// Plan describes a fleet of separate processes. The plan command writes it, the other
 // commands read it.
 type Plan struct {
 	Platform string     `json:"platform"` // ip:port
